--- a/crates/config/src/file/check.rs
+++ b/crates/config/src/file/check.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::Fleet;
 use super::format::{self, File, KeyScope, LogLevel, LogRequests, NodeState, Repeat, Time};
-use super::problems::{nearest, Document, Path};
+use super::problems::{nearest, Document, KeyPath};
 use garnettally_model::*;
 use garnettally_routing::budget::Share;
 use garnettally_routing::failover::Rules;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// One version of the operator's file, checked and with its defaults.
-pub struct Operator {
+pub struct OperatorConfig {
     /// The name of this process.
     pub name: String,
     /// For random numbers, if the file says so.
@@ -24,15 +24,15 @@
     /// What is logged, and how.
     pub logging: Logging,
     /// Descriptors that the process may hold.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Memory that it may use, in MiB.
     pub memory_mb: usize,
     /// Requests in flight.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Keys whose windows are open.
-    pub pins: usize,
+    pub max_pinned_keys: usize,
     /// Where operators call.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The link to the other balancers.
     pub fleet: Option<Fleet>,
     /// Where clients connect.
@@ -40,7 +40,7 @@
     /// The names of the classes, in the order of their numbers.
     pub classes: Vec<String>,
     /// What the module is told of them.
-    pub class_facts: Vec<Class>,
+    pub class_settings: Vec<Class>,
     /// The names of the tenants, in the order of their numbers.
     pub tenants: Vec<String>,
     /// The pools.
@@ -61,7 +61,7 @@
     /// Which requests get a line.
     pub requests: LogRequests,
     /// Lines that may wait.
-    pub queue: usize,
+    pub queue_lines: usize,
 }
 
 /// Where clients connect.
@@ -76,18 +76,18 @@
     /// Its share of the requests in flight.
     pub requests: Share,
     /// Its share of the memory for unfinished requests, in bytes.
-    pub memory: Share,
+    pub memory_bytes: Share,
 }
 
 /// Where the nodes of a pool are told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Nodes {
+pub enum PoolNodes {
     /// In the file itself.
     Static(Vec<(Listing, Option<SocketAddr>)>),
     /// In a file of their own.
     File(PathBuf),
     /// By the platform's discovery.
-    Watch(SocketAddr),
+    Discovery(SocketAddr),
 }
 
 /// A pool.
@@ -98,28 +98,28 @@
     /// What its instance of the module is given.
     pub site: Site,
     /// What makes that instance what it is: a pool whose basis has changed is another pool.
-    pub basis: Basis,
+    pub identity: PoolIdentity,
     /// Its nodes.
-    pub nodes: Nodes,
+    pub nodes: PoolNodes,
     /// How long opening a connection may take.
     pub connect_timeout: Duration,
     /// For how long a connection between requests is kept.
-    pub keep_idle: Duration,
+    pub idle_timeout: Duration,
     /// Its share of the requests in flight.
     pub requests: Share,
     /// Its share of the connections.
     pub connections: Share,
     /// Its share of the memory for unfinished answers, in bytes.
-    pub memory: Share,
+    pub memory_bytes: Share,
     /// When it is left in a failover list.
     pub failover: Rules,
     /// How many share its nodes is not written: with a fleet it is the fleet's size.
-    pub shared_by_fleet: bool,
+    pub instances_from_fleet: bool,
 }
 
 /// What a pool's instance of the module is made from, as it is written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Basis {
+pub struct PoolIdentity {
     pool: format::Pool,
     classes: BTreeMap<String, format::Class>,
     tenants: BTreeMap<String, format::Tenant>,
@@ -144,17 +144,17 @@
     }
 
     /// Notes a problem.
-    pub fn note(&mut self, key: &Path, what: &str, remedy: &str) {
+    pub fn note(&mut self, key: &KeyPath, what: &str, remedy: &str) {
         self.wrong(key, what, remedy);
     }
 
-    fn wrong(&mut self, key: &Path, what: impl Into<String>, remedy: impl Into<String>) {
+    fn wrong(&mut self, key: &KeyPath, what: impl Into<String>, remedy: impl Into<String>) {
         self.doc.wrong(key, what, remedy);
     }
 
     /// `None` means that a problem was noted.
-    pub fn file(&mut self, f: &File) -> Option<Operator> {
-        let top = Path::default();
+    pub fn file(&mut self, f: &File) -> Option<OperatorConfig> {
+        let top = KeyPath::default();
         if f.version != 1 {
             self.wrong(
                 &top.key("version"),
@@ -213,29 +213,29 @@
             Err(conflicts) => {
                 for c in conflicts {
                     let remedy = "change its host, path, methods or tests, or take one of them out";
-                    self.wrong(&top.key("routes").at(c.at()), c.to_string(), remedy);
+                    self.wrong(&top.key("routes").index(c.at()), c.to_string(), remedy);
                 }
                 return None;
             }
         };
-        Some(Operator {
+        Some(OperatorConfig {
             name: f.name.clone().unwrap_or_else(|| "garnettally".into()),
             seed: seed.flatten(),
             logging: Logging {
                 json: f.logging.format == format::LogFormat::Json,
                 level: f.logging.level,
                 requests: f.logging.requests,
-                queue,
+                queue_lines: queue,
             },
-            descriptors,
+            max_descriptors: descriptors,
             memory_mb,
-            requests,
-            pins,
-            admin,
+            max_requests: requests,
+            max_pinned_keys: pins,
+            admin_address: admin,
             fleet,
             listeners,
             classes,
-            class_facts: facts,
+            class_settings: facts,
             tenants,
             pools,
             routes,
@@ -245,7 +245,7 @@
 
     pub(super) fn whole(
         &mut self,
-        key: &Path,
+        key: &KeyPath,
         value: Option<usize>,
         default: usize,
         least: usize,
@@ -258,7 +258,7 @@
         n
     }
 
-    fn number(&mut self, key: &Path, value: Option<f64>, default: f64, least: f64, most: f64) -> f64 {
+    fn number(&mut self, key: &KeyPath, value: Option<f64>, default: f64, least: f64, most: f64) -> f64 {
         let n = value.unwrap_or(default);
         if !(least..=most).contains(&n) {
             self.wrong(key, format!("{n} is out of range"), format!("use {least} to {most}"));
@@ -268,7 +268,7 @@
 
     pub(super) fn time(
         &mut self,
-        key: &Path,
+        key: &KeyPath,
         value: Option<&Time>,
         default: Duration,
         least: Duration,
@@ -292,7 +292,7 @@
         }
     }
 
-    pub(super) fn address(&mut self, key: &Path, text: &str) -> SocketAddr {
+    pub(super) fn address(&mut self, key: &KeyPath, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
             let remedy = "write it as 192.0.2.7:8080 or [2001:db8::7]:8080; names are not looked up";
             self.wrong(key, format!("{text:?} is not an address with a port"), remedy);
@@ -300,7 +300,7 @@
         })
     }
 
-    fn share(&mut self, key: &Path, share: &format::Share) -> Share {
+    fn share(&mut self, key: &KeyPath, share: &format::Share) -> Share {
         let (min, max) = (share.min.unwrap_or(0), share.max.unwrap_or(usize::MAX));
         if min > max {
             self.wrong(key, format!("min {min} is above max {max}"), "raise max or lower min");
@@ -311,7 +311,7 @@
         Share { min, max }
     }
 
-    fn memory(&mut self, key: &Path, share: &format::Share) -> Share {
+    fn memory(&mut self, key: &KeyPath, share: &format::Share) -> Share {
         let Share { min, max } = self.share(key, share);
         Share { min: min.saturating_mul(1024), max: max.saturating_mul(1024) }
     }
@@ -320,7 +320,7 @@
         let mut seen: BTreeMap<SocketAddr, &str> = BTreeMap::new();
         let mut all = Vec::new();
         for (name, l) in &f.listeners {
-            let key = Path::default().key("listeners").key(name);
+            let key = KeyPath::default().key("listeners").key(name);
             let address = self.address(&key.key("address"), &l.address);
             if let Some(other) = seen.insert(address, name).filter(|_| address.port() != 0) {
                 self.wrong(
@@ -332,7 +332,7 @@
             let connections = self.share(&key.key("connections"), &l.connections);
             let requests = self.share(&key.key("requests"), &l.requests);
             let memory = self.memory(&key.key("memory_kb"), &l.memory_kb);
-            all.push(Listener { name: name.clone(), address, connections, requests, memory });
+            all.push(Listener { name: name.clone(), address, connections, requests, memory_bytes: memory });
         }
         all
     }
@@ -341,7 +341,7 @@
         // Zones and kinds are numbered by each pool; here their names are only checked.
         let (mut names, mut facts) = (Vec::new(), Vec::new());
         for (name, c) in &f.classes {
-            let key = Path::default().key("classes").key(name);
+            let key = KeyPath::default().key("classes").key(name);
             let ms = Duration::from_millis(1);
             let aim = self.time(&key.key("aim"), Some(&c.aim), ms, ms);
             let deadline = self.time(&key.key("deadline"), Some(&c.deadline), ms, ms);
@@ -385,15 +385,15 @@
     fn pools(&mut self, f: &File, names: &[String], facts: &[Class]) -> Vec<Pool> {
         let mut all = Vec::new();
         for (name, p) in &f.pools {
-            let key = Path::default().key("pools").key(name);
+            let key = KeyPath::default().key("pools").key(name);
             let nodes = match (&p.nodes, &p.nodes_file, &p.discovery) {
-                (Some(nodes), None, None) => Nodes::Static(self.nodes(&key.key("nodes"), nodes)),
-                (None, Some(file), None) if !file.is_empty() => Nodes::File(PathBuf::from(file)),
-                (None, None, Some(text)) => Nodes::Watch(self.address(&key.key("discovery"), text)),
+                (Some(nodes), None, None) => PoolNodes::Static(self.nodes(&key.key("nodes"), nodes)),
+                (None, Some(file), None) if !file.is_empty() => PoolNodes::File(PathBuf::from(file)),
+                (None, None, Some(text)) => PoolNodes::Discovery(self.address(&key.key("discovery"), text)),
                 _ => {
                     let what = "it needs exactly one of nodes, nodes_file and discovery";
                     self.wrong(&key, what, "say in one way where its nodes are");
-                    Nodes::Static(Vec::new())
+                    PoolNodes::Static(Vec::new())
                 }
             };
             let rules = self.rules(&key.key("failover"), &p.failover);
@@ -424,15 +424,19 @@
             all.push(Pool {
                 name: name.clone(),
                 site,
-                basis: Basis { pool: plain, classes: f.classes.clone(), tenants: f.tenants.clone() },
+                identity: PoolIdentity {
+                    pool: plain,
+                    classes: f.classes.clone(),
+                    tenants: f.tenants.clone(),
+                },
                 nodes,
                 connect_timeout: connect,
-                keep_idle: idle * 2 / 3,
+                idle_timeout: idle * 2 / 3,
                 requests,
                 connections,
-                memory,
+                memory_bytes: memory,
                 failover: rules,
-                shared_by_fleet: f.fleet.is_some() && p.instances.is_none(),
+                instances_from_fleet: f.fleet.is_some() && p.instances.is_none(),
             });
         }
         all
@@ -440,7 +444,7 @@
 
     fn site(
         &mut self,
-        key: &Path,
+        key: &KeyPath,
         f: &File,
         p: &format::Pool,
         names: &[String],
@@ -496,7 +500,7 @@
         Site { settings, names: Names::new(names.to_vec(), tenants, zones, kinds) }
     }
 
-    pub fn nodes(&mut self, key: &Path, nodes: &[format::Node]) -> Vec<(Listing, Option<SocketAddr>)> {
+    pub fn nodes(&mut self, key: &KeyPath, nodes: &[format::Node]) -> Vec<(Listing, Option<SocketAddr>)> {
         if nodes.len() > MOST_NODES {
             self.wrong(key, format!("holds {}", nodes.len()), format!("{MOST_NODES} are the most"));
             return Vec::new();
@@ -504,7 +508,7 @@
         let mut seen = BTreeSet::new();
         let mut all = Vec::with_capacity(nodes.len());
         for (i, n) in nodes.iter().enumerate() {
-            let key = key.at(i);
+            let key = key.index(i);
             if n.name.is_empty() || !seen.insert(&n.name) {
                 let what = if n.name.is_empty() { "is empty" } else { "stands twice" };
                 self.wrong(
@@ -531,7 +535,7 @@
         all
     }
 
-    fn rules(&mut self, key: &Path, f: &format::Failover) -> Rules {
+    fn rules(&mut self, key: &KeyPath, f: &format::Failover) -> Rules {
         let base = Rules::default();
         let std = |m: Micros| Duration::from_micros(m.0 as u64);
         let (zero, ms) = (Duration::ZERO, Duration::from_millis(1));
@@ -561,7 +565,7 @@
         let mut seen: BTreeMap<&str, usize> = BTreeMap::new();
         let mut all = Vec::with_capacity(f.routes.len());
         for (i, r) in f.routes.iter().enumerate() {
-            let key = Path::default().key("routes").at(i);
+            let key = KeyPath::default().key("routes").index(i);
             if let Some(other) = seen.insert(&r.name, i) {
                 self.wrong(
                     &key.key("name"),
@@ -611,7 +615,7 @@
         all
     }
 
-    fn matcher(&mut self, key: &Path, r: &format::Route) -> Option<Matcher> {
+    fn matcher(&mut self, key: &KeyPath, r: &format::Route) -> Option<Matcher> {
         let host = match HostPattern::parse(r.host.as_deref().unwrap_or("*")) {
             Ok(host) => Some(host),
             Err(e) => {
@@ -642,7 +646,7 @@
             let plain = !m.is_empty() && m.bytes().all(|b| b.is_ascii_uppercase() || b == b'-');
             if !plain || m == "CONNECT" || r.methods[..i].contains(m) {
                 let remedy = "write each once and in capitals; CONNECT is not served";
-                self.wrong(&key.key("methods").at(i), format!("{m:?} can't be used"), remedy);
+                self.wrong(&key.key("methods").index(i), format!("{m:?} can't be used"), remedy);
             }
         }
         let headers = self.tests(&key.key("headers"), &r.headers, true);
@@ -650,7 +654,7 @@
         Some(Matcher { host: host?, path: path?, methods: r.methods.clone(), headers, query })
     }
 
-    fn tests(&mut self, key: &Path, tests: &[format::FieldTest], lower: bool) -> Vec<FieldTest> {
+    fn tests(&mut self, key: &KeyPath, tests: &[format::FieldTest], lower: bool) -> Vec<FieldTest> {
         if tests.len() > 16 {
             self.wrong(key, format!("holds {} tests", tests.len()), "16 are the most");
         }
@@ -663,12 +667,12 @@
                 (None, None, Some(false)) => Test::Absent,
                 _ => {
                     let what = "it needs exactly one of equals, starts_with and present";
-                    self.wrong(&key.at(i), what, "keep one of them");
+                    self.wrong(&key.index(i), what, "keep one of them");
                     continue;
                 }
             };
             if t.name.is_empty() {
-                self.wrong(&key.at(i).key("name"), "is empty", "name the field");
+                self.wrong(&key.index(i).key("name"), "is empty", "name the field");
             }
             let name = if lower { t.name.to_ascii_lowercase() } else { t.name.clone() };
             all.push(FieldTest { name, test });
@@ -676,7 +680,7 @@
         all
     }
 
-    fn source(&mut self, key: &Path, s: &format::Source, params: &[&str]) -> Option<Source> {
+    fn source(&mut self, key: &KeyPath, s: &format::Source, params: &[&str]) -> Option<Source> {
         let source = match (&s.header, &s.query, &s.param, &s.value) {
             (Some(v), None, None, None) => Source::Header(v.to_ascii_lowercase()),
             (None, Some(v), None, None) => Source::Query(v.clone()),
@@ -699,7 +703,7 @@
 
     fn deadline(
         &mut self,
-        key: &Path,
+        key: &KeyPath,
         d: &format::Deadline,
         class: Option<&Class>,
         params: &[&str],
@@ -718,7 +722,7 @@
         DeadlineRule { source, default: micros(default), ceiling: micros(ceiling) }
     }
 
-    fn pool_at(&mut self, key: &Path, f: &File, name: &str) -> Option<usize> {
+    fn pool_at(&mut self, key: &KeyPath, f: &File, name: &str) -> Option<usize> {
         let at = f.pools.keys().position(|p| p == name);
         if at.is_none() {
             self.wrong(key, format!("no pool is called {name:?}"), nearest(name, f.pools.keys()));
@@ -726,7 +730,7 @@
         at
     }
 
-    fn route_pools(&mut self, key: &Path, f: &File, r: &format::Route) -> Option<Pools> {
+    fn route_pools(&mut self, key: &KeyPath, f: &File, r: &format::Route) -> Option<Pools> {
         match (&r.pool, &r.split, &r.failover) {
             (Some(pool), None, None) => self.pool_at(&key.key("pool"), f, pool).map(Pools::One),
             (None, Some(split), None) => {
@@ -750,9 +754,9 @@
                 let mut places = Vec::new();
                 for (i, name) in list.iter().enumerate() {
                     if list[..i].contains(name) {
-                        self.wrong(&key.at(i), format!("pool {name:?} stands twice"), "take one out");
+                        self.wrong(&key.index(i), format!("pool {name:?} stands twice"), "take one out");
                     }
-                    places.extend(self.pool_at(&key.at(i), f, name));
+                    places.extend(self.pool_at(&key.index(i), f, name));
                 }
                 Some(Pools::Failover(places))
             }
@@ -763,7 +767,13 @@
         }
     }
 
-    fn mirror(&mut self, key: &Path, f: &File, m: &format::Mirror, effect: Option<Effect>) -> Option<Mirror> {
+    fn mirror(
+        &mut self,
+        key: &KeyPath,
+        f: &File,
+        m: &format::Mirror,
+        effect: Option<Effect>,
+    ) -> Option<Mirror> {
         if !matches!(effect, Some(Effect::Safe) | None) {
             self.wrong(key, "only requests that are safe to repeat can be mirrored", "take it out");
         }
@@ -793,13 +803,13 @@
         let of_requests = listeners.clone().map(|l| min(&l.requests)).sum::<usize>()
             + f.pools.values().map(|p| min(&p.requests)).sum::<usize>()
             + f.routes.iter().map(|r| min(&r.requests)).sum::<usize>();
-        let limits = Path::default().key("limits");
+        let limits = KeyPath::default().key("limits");
         if of_requests > requests {
             let what =
                 format!("listeners, pools and routes are guaranteed {of_requests} requests of {requests}");
             self.wrong(&limits.key("requests"), what, "raise it, or lower some min");
         }
-        let room = crate::limits::connections(descriptors);
+        let room = crate::limits::max_connections(descriptors);
         let kb = memory_mb * 1024 / 8;
         let of_listeners: usize = listeners.clone().map(|l| min(&l.memory_kb)).sum();
         let of_pools: usize = f.pools.values().map(|p| min(&p.memory_kb)).sum();
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::check::Check;
 use super::format::{self, File};
-use super::problems::Path;
+use super::problems::KeyPath;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     /// How often a member is probed.
     pub probe_period: Duration,
     /// After this a silent member is taken to be dead,
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// and after this it is forgotten.
     pub forget_after: Duration,
     /// How often peers are asked for news.
@@ -35,17 +35,17 @@
     /// When news is void.
     pub max_age: Duration,
     /// Members that are known at the most.
-    pub members: usize,
+    pub max_members: usize,
     /// Pieces of news that are held at the most.
-    pub facts: usize,
+    pub max_facts: usize,
     /// The fleet's least size,
     pub size_floor: u32,
     /// and for how long a larger one is held.
     pub size_hold: Duration,
     /// Bytes a second that are sent at the most.
-    pub send_bytes: u64,
+    pub max_send_bytes_per_second: u64,
     /// Datagrams a second that are looked at at the most.
-    pub receive_datagrams: u64,
+    pub max_receive_datagrams_per_second: u64,
     /// Work that one member does on behalf of all.
     pub duties: Option<Duties>,
 }
@@ -73,7 +73,7 @@
     /// The path of its POST.
     pub path: String,
     /// How often.
-    pub every: Duration,
+    pub interval: Duration,
 }
 
 /// The name of the duty that tells a sink.
@@ -81,7 +81,7 @@
 
 impl Duties {
     /// The names of all duties.
-    pub fn all(&self) -> Vec<String> {
+    pub fn all_names(&self) -> Vec<String> {
         let export = self.export.iter().map(|_| EXPORT.to_string());
         self.names.iter().cloned().chain(export).collect()
     }
@@ -92,7 +92,7 @@
 
 impl Check<'_, '_> {
     pub(super) fn fleet(&mut self, file: &File, f: &format::Fleet) -> Fleet {
-        let top = Path::default();
+        let top = KeyPath::default();
         let key = top.key("fleet");
         let (ms, second) = (Duration::from_millis(1), Duration::from_secs(1));
         let address = self.address(&key.key("address"), &f.address);
@@ -108,7 +108,7 @@
             self.note(&key.key("advertise"), "has port 0", "give it the port that reaches this member");
         }
         let seeds: Vec<SocketAddr> =
-            f.seeds.iter().enumerate().map(|(i, s)| self.address(&key.key("seeds").at(i), s)).collect();
+            f.seeds.iter().enumerate().map(|(i, s)| self.address(&key.key("seeds").index(i), s)).collect();
         if f.key_file.is_none() {
             let all = [("address", address), ("advertise", advertise)];
             let seeds = seeds.iter().map(|s| ("seeds", *s));
@@ -180,18 +180,19 @@
             seeds,
             key_file: f.key_file.as_ref().map(PathBuf::from),
             probe_period,
-            suspicion,
+            suspicion_timeout: suspicion,
             forget_after,
             ask_every,
             ask_peers: self.whole(&key.key("ask_peers"), f.ask_peers, 3, 1, 16),
             max_age,
-            members,
-            facts: self.whole(&key.key("facts"), f.facts, 8192, 64, 1 << 20),
+            max_members: members,
+            max_facts: self.whole(&key.key("facts"), f.facts, 8192, 64, 1 << 20),
             duties: f.duties.as_ref().map(|d| self.duties(&key.key("duties"), d, name)),
             size_floor: size_floor as u32,
             size_hold: self.time(&key.key("size_hold"), f.size_hold.as_ref(), 60 * second, Duration::ZERO),
-            send_bytes: self.whole(&key.key("send_kb"), f.send_kb, 256, 8, 65_536) as u64 * 1024,
-            receive_datagrams: self.whole(
+            max_send_bytes_per_second: self.whole(&key.key("send_kb"), f.send_kb, 256, 8, 65_536) as u64
+                * 1024,
+            max_receive_datagrams_per_second: self.whole(
                 &key.key("receive_datagrams"),
                 f.receive_datagrams,
                 10_000,
@@ -201,7 +202,7 @@
         }
     }
 
-    fn duties(&mut self, key: &Path, d: &format::Duties, name: Option<&String>) -> Duties {
+    fn duties(&mut self, key: &KeyPath, d: &format::Duties, name: Option<&String>) -> Duties {
         let distinct: std::collections::BTreeSet<&String> = d.voters.iter().collect();
         if !matches!(d.voters.len(), 1 | 3 | 5 | 7) || distinct.len() != d.voters.len() {
             let what = format!("names {} members, {} of them different", d.voters.len(), distinct.len());
@@ -231,7 +232,7 @@
                 !n.is_empty() && n.len() <= 64 && !n.chars().any(|c| c.is_control() || c.is_whitespace());
             if !fits || d.names[..i].contains(n) {
                 self.note(
-                    &key.key("names").at(i),
+                    &key.key("names").index(i),
                     "is no name of its own",
                     "use 1 to 64 bytes without spaces, once",
                 );
@@ -249,7 +250,7 @@
         }
     }
 
-    fn export(&mut self, key: &Path, d: &format::Duties, e: &format::Export) -> Export {
+    fn export(&mut self, key: &KeyPath, d: &format::Duties, e: &format::Export) -> Export {
         if d.names.iter().any(|n| n == EXPORT) {
             let what = "is also a name in fleet.duties.names";
             self.note(key, what, "take it out there: this table makes the duty \"export\"");
@@ -262,7 +263,7 @@
         Export {
             address: self.address(&key.key("address"), &e.address),
             path,
-            every: self.time(&key.key("every"), e.every.as_ref(), 10_000 * ms, 100 * ms),
+            interval: self.time(&key.key("every"), e.every.as_ref(), 10_000 * ms, 100 * ms),
         }
     }
 }
--- a/crates/config/src/file/mod.rs
+++ b/crates/config/src/file/mod.rs
@@ -8,9 +8,9 @@
 pub mod format;
 pub mod problems;
 
-pub use check::{Basis, Listener, Logging, Nodes, Operator, Pool};
+pub use check::{Listener, Logging, OperatorConfig, Pool, PoolIdentity, PoolNodes};
 pub use fleet::{Duties, Export, Fleet};
-pub use problems::{Path, Problem, Problems, Step};
+pub use problems::{KeyPath, KeyStep, Problem, Problems};
 
 use check::Check;
 use garnettally_model::Listing;
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 
 /// The longest file that is read.
-pub const MOST_BYTES: u64 = 64 << 20;
+pub const MAX_FILE_BYTES: u64 = 64 << 20;
 
 /// The JSON Schema of the operator's file.
 pub fn schema() -> Value {
@@ -32,12 +32,12 @@
 }
 
 /// Reads and checks an operator's file; all that is wrong with it is told at once.
-pub fn load(path: &str) -> Result<Operator, Problems> {
+pub fn load(path: &str) -> Result<OperatorConfig, Problems> {
     parse(path, &read(path)?)
 }
 
 /// Checks the text of an operator's file; `name` stands in what is told.
-pub fn parse(name: &str, text: &str) -> Result<Operator, Problems> {
+pub fn parse(name: &str, text: &str) -> Result<OperatorConfig, Problems> {
     checked(name, text, schema(), |check, file: &format::File| check.file(file))
 }
 
@@ -50,7 +50,7 @@
 /// Checks the text of such a file.
 pub fn parse_nodes(name: &str, text: &str) -> Result<Vec<(Listing, Option<SocketAddr>)>, Problems> {
     checked(name, text, nodes_schema(), |check, file: &format::NodesFile| {
-        let key = Path::default().key("nodes");
+        let key = KeyPath::default().key("nodes");
         let nodes = check.nodes(&key, &file.nodes);
         if file.nodes.is_empty() {
             check.empty(&key);
@@ -60,19 +60,19 @@
 }
 
 impl Check<'_, '_> {
-    fn empty(&mut self, key: &Path) {
+    fn empty(&mut self, key: &KeyPath) {
         self.note(key, "lists no node", "write one [[nodes]] for each");
     }
 }
 
 fn read(path: &str) -> Result<String, Problems> {
     let failed = |what: String| {
-        let (file, key, remedy) = (path.to_string(), Path::default(), String::new());
-        Problems(vec![Problem { file, line: 0, key, what, remedy }])
+        let (file, key, remedy) = (path.to_string(), KeyPath::default(), String::new());
+        Problems(vec![Problem { file, line: 0, key, message: what, remedy }])
     };
     let size = std::fs::metadata(path).map_err(|e| failed(e.to_string()))?.len();
-    if size > MOST_BYTES {
-        return Err(failed(format!("is {size} bytes long; {MOST_BYTES} are the most")));
+    if size > MAX_FILE_BYTES {
+        return Err(failed(format!("is {size} bytes long; {MAX_FILE_BYTES} are the most")));
     }
     let bytes = std::fs::read(path).map_err(|e| failed(e.to_string()))?;
     String::from_utf8(bytes).map_err(|_| failed("is not UTF-8".into()))
@@ -85,7 +85,7 @@
     check: impl FnOnce(&mut Check<'_, '_>, &F) -> Option<T>,
 ) -> Result<T, Problems> {
     let mut doc = Document::parse(name, text)?;
-    let top = Path::default();
+    let top = KeyPath::default();
     match toml::from_str::<Value>(text) {
         Ok(value) => doc.check_schema(&schema, &value),
         Err(e) => doc.wrong(&top, e.message().to_string(), ""),
--- a/crates/config/src/file/problems.rs
+++ b/crates/config/src/file/problems.rs
@@ -8,41 +8,41 @@
 
 /// One step of a key: a name in a table, or a place in an array.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum KeyStep {
     /// A name.
     Key(String),
     /// A place, from 0.
-    At(usize),
+    Index(usize),
 }
 
 /// The key of a value, from the top of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Path(pub Vec<Step>);
+pub struct KeyPath(pub Vec<KeyStep>);
 
-impl Path {
+impl KeyPath {
     /// This key, and a name in the table that it holds.
-    pub fn key(&self, name: &str) -> Path {
-        self.with(Step::Key(name.to_string()))
+    pub fn key(&self, name: &str) -> KeyPath {
+        self.with(KeyStep::Key(name.to_string()))
     }
 
     /// This key, and a place in the array that it holds.
-    pub fn at(&self, place: usize) -> Path {
-        self.with(Step::At(place))
+    pub fn index(&self, place: usize) -> KeyPath {
+        self.with(KeyStep::Index(place))
     }
 
-    fn with(&self, step: Step) -> Path {
+    fn with(&self, step: KeyStep) -> KeyPath {
         let mut steps = self.0.clone();
         steps.push(step);
-        Path(steps)
+        KeyPath(steps)
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for KeyPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, step) in self.0.iter().enumerate() {
             match step {
-                Step::At(place) => write!(f, "[{place}]")?,
-                Step::Key(name) => {
+                KeyStep::Index(place) => write!(f, "[{place}]")?,
+                KeyStep::Key(name) => {
                     let bare = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_');
                     let dot = if i > 0 { "." } else { "" };
                     match !name.is_empty() && name.bytes().all(bare) {
@@ -64,9 +64,9 @@
     /// The line, from 1; 0 where none is at fault.
     pub line: usize,
     /// The key.
-    pub key: Path,
+    pub key: KeyPath,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What to do.
     pub remedy: String,
 }
@@ -80,7 +80,7 @@
         if !self.key.0.is_empty() {
             write!(f, " {}:", self.key)?;
         }
-        write!(f, " {}", self.what)?;
+        write!(f, " {}", self.message)?;
         if !self.remedy.is_empty() {
             write!(f, "; {}", self.remedy)?;
         }
@@ -120,8 +120,8 @@
         let problem = |e: toml::de::Error| Problem {
             file: name.to_string(),
             line: e.span().map_or(0, |span| line_of(text, span.start)),
-            key: Path::default(),
-            what: format!("not TOML: {}", e.message().replace('\n', ", ")),
+            key: KeyPath::default(),
+            message: format!("not TOML: {}", e.message().replace('\n', ", ")),
             remedy: String::new(),
         };
         if errors.is_empty() {
@@ -132,14 +132,14 @@
     }
 
     /// Notes a problem at a key, or at the nearest one above that stands in the file.
-    pub fn wrong(&mut self, key: &Path, what: impl Into<String>, remedy: impl Into<String>) {
+    pub fn wrong(&mut self, key: &KeyPath, what: impl Into<String>, remedy: impl Into<String>) {
         if self.problems.len() < MOST {
             let (file, line) = (self.name.clone(), self.line(key));
             self.problems.push(Problem {
                 file,
                 line,
                 key: key.clone(),
-                what: what.into(),
+                message: what.into(),
                 remedy: remedy.into(),
             });
         }
@@ -156,14 +156,14 @@
         Problems(self.problems)
     }
 
-    fn line(&self, key: &Path) -> usize {
+    fn line(&self, key: &KeyPath) -> usize {
         let mut place = self.tree.span().start;
         let mut here: Option<&DeValue<'_>> = None;
         for step in &key.0 {
             let next = match (here, step) {
-                (None, Step::Key(name)) => self.tree.get_ref().get_key_value(name.as_str()),
-                (Some(DeValue::Table(table)), Step::Key(name)) => table.get_key_value(name.as_str()),
-                (Some(DeValue::Array(array)), Step::At(at)) => {
+                (None, KeyStep::Key(name)) => self.tree.get_ref().get_key_value(name.as_str()),
+                (Some(DeValue::Table(table)), KeyStep::Key(name)) => table.get_key_value(name.as_str()),
+                (Some(DeValue::Array(array)), KeyStep::Index(at)) => {
                     let Some(value) = array.get(*at) else { break };
                     place = value.span().start;
                     here = Some(value.get_ref());
@@ -182,7 +182,7 @@
     pub fn check_schema(&mut self, schema: &Value, value: &Value) {
         let validator = match jsonschema::validator_for(schema) {
             Ok(validator) => validator,
-            Err(e) => return self.wrong(&Path::default(), format!("the format's schema: {e}"), ""),
+            Err(e) => return self.wrong(&KeyPath::default(), format!("the format's schema: {e}"), ""),
         };
         for e in validator.iter_errors(value) {
             let key = path_of(value, e.instance_path().as_str());
@@ -283,15 +283,15 @@
 }
 
 /// The key that a JSON pointer names.
-fn path_of(value: &Value, pointer: &str) -> Path {
-    let mut path = Path::default();
+fn path_of(value: &Value, pointer: &str) -> KeyPath {
+    let mut path = KeyPath::default();
     let mut here = Some(value);
     for step in pointer.split('/').skip(1) {
         let name = step.replace("~1", "/").replace("~0", "~");
         match here {
             Some(Value::Array(items)) => {
                 let at = name.parse().unwrap_or(usize::MAX);
-                path = path.at(at);
+                path = path.index(at);
                 here = items.get(at);
             }
             other => {
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,6 +1,6 @@
 //! Every size, count and time of the real balancer, filled once at start and handed down.
 
-use crate::file::Operator;
+use crate::file::OperatorConfig;
 use crate::platform::Config;
 use garnettally_model::{Micros, TOLD_AFTER};
 use std::time::Duration;
@@ -11,111 +11,111 @@
     /// The module hears of what has come in once in this time.
     pub resolution: Duration,
     /// The longest request or answer head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The most headers in one.
-    pub headers: usize,
+    pub max_headers: usize,
     /// The longest body of a request.
-    pub body_bytes: usize,
+    pub max_request_body_bytes: usize,
     /// The most that is kept of an incoming request: head, body and the framing between its chunks.
-    pub message_bytes: usize,
+    pub max_request_bytes: usize,
     /// The longest body of an answer.
-    pub answer_body_bytes: usize,
+    pub max_response_body_bytes: usize,
     /// The most that is kept of an answer.
-    pub answer_bytes: usize,
+    pub max_response_bytes: usize,
     /// What the answers that are longer than a request may be hold together.
-    pub answers_bytes: usize,
+    pub max_long_responses_bytes: usize,
     /// What one read takes from a socket.
-    pub read_bytes: usize,
+    pub read_chunk_bytes: usize,
     /// What the buffers of a connection keep for its next message: idle connections are many.
-    pub kept_bytes: usize,
+    pub retained_buffer_bytes: usize,
     /// The longest line between chunks.
-    pub chunk_line_bytes: usize,
+    pub max_chunk_line_bytes: usize,
     /// The longest line of discovery.
-    pub line_bytes: usize,
+    pub max_discovery_line_bytes: usize,
     /// Connections that wait to be accepted.
-    pub backlog: i32,
+    pub listen_backlog: i32,
     /// Caller connections.
-    pub callers: usize,
+    pub max_caller_connections: usize,
     /// Connections of both sides together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long accepting rests when the system has no descriptor left.
-    pub accept_rest: Duration,
+    pub accept_pause: Duration,
     /// A caller connection between requests is kept so long.
-    pub caller_idle: Duration,
+    pub caller_idle_timeout: Duration,
     /// A caller has so long to send its first request after connecting, and each later one once begun.
-    pub caller_request: Duration,
+    pub caller_request_timeout: Duration,
     /// A caller connection younger than this is not closed to make room: its request is on its way.
-    pub caller_fresh: Duration,
+    pub caller_min_age_to_evict: Duration,
     /// A connection that has had its last answer is read on for so long, so that the answer arrives.
-    pub caller_linger: Duration,
+    pub caller_linger_timeout: Duration,
     /// And so much of it at a time, so that others have their turn.
-    pub caller_discard: usize,
+    pub caller_discard_bytes: usize,
     /// What caller connections may hold of unfinished requests together.
-    pub caller_bytes: usize,
+    pub max_callers_buffered_bytes: usize,
     /// And so much one may have read ahead behind a request that waits for its answer: the end of a client that sends
     /// much and goes lies behind its bytes.
-    pub caller_ahead_bytes: usize,
+    pub max_caller_read_ahead_bytes: usize,
     /// How long opening a connection to an upstream may take.
-    pub upstream_connect: Duration,
+    pub upstream_connect_timeout: Duration,
     /// An upstream connection between requests is kept so long.
-    pub upstream_idle: Duration,
+    pub upstream_idle_timeout: Duration,
     /// Upstream connections idle for less are taken to be open still: one that breaks does so by chance.
-    pub upstream_idle_least: Duration,
+    pub min_upstream_idle_timeout: Duration,
     /// A reused connection that breaks within this was closed before, unnoticed.
-    pub upstream_stale: Duration,
+    pub upstream_stale_break_window: Duration,
     /// What that tells of its upstream is believed for so long.
-    pub upstream_idle_memory: Duration,
+    pub learned_idle_timeout_ttl: Duration,
     /// An upstream connection rests so long before its next request: a second answer, which would pass for that
     /// one's, comes some milliseconds after the first.
-    pub upstream_rest: Duration,
+    pub upstream_reuse_delay: Duration,
     /// How long opening a connection to discovery may take.
-    pub discovery_connect: Duration,
+    pub discovery_connect_timeout: Duration,
     /// How long discovery may take to answer a watch.
-    pub discovery_answer: Duration,
+    pub discovery_response_timeout: Duration,
     /// After so long without a whole list or an empty line, one of which comes every 2 s, a watch is given up.
-    pub discovery_silence: Duration,
+    pub discovery_idle_timeout: Duration,
     /// How often ages are looked at.
-    pub sweep: Duration,
+    pub sweep_interval: Duration,
     /// After SIGTERM, connections are kept open between requests for so long.
-    pub drain_keep: Duration,
+    pub drain_keepalive: Duration,
     /// And new ones are accepted for so long.
-    pub drain_accept: Duration,
+    pub drain_accept_time: Duration,
     /// At the end a new connection is given so long for its first request, and the callers for their own end.
     pub drain_linger: Duration,
     /// What is taken after SIGTERM is answered within so long of it: SIGKILL may follow.
-    pub drain_answer: Duration,
+    pub drain_response_time: Duration,
     /// How often a file of nodes is looked at; it is read once it has been the same at two looks.
-    pub nodes_poll: Duration,
+    pub nodes_poll_interval: Duration,
     /// A configuration file younger than this may still be being written: it is read once it has rested so long,
-    pub reload_rest: Duration,
+    pub reload_settle_time: Duration,
     /// and refused if it never does within this.
-    pub reload_wait: Duration,
+    pub reload_settle_timeout: Duration,
     /// Log lines that may wait to be written; past them lines are dropped.
-    pub log_lines: usize,
+    pub log_queue_lines: usize,
     /// Connections to the admin address at once; a newer one closes the oldest. Their descriptors are kept apart
     /// from `connections`.
-    pub admin_connections: usize,
+    pub max_admin_connections: usize,
     /// An admin call is owed its answer within this of connecting (the operators' page: 1 s); then it gets 408.
-    pub admin_call: Duration,
+    pub admin_call_timeout: Duration,
     /// After `PUT /healthcheck/fail`, connections between requests are closed from this on: the front stops
     /// sending new ones 0.2 s after its first no, and asks every 0.1 s.
-    pub drain_idle: Duration,
+    pub admin_drain_keepalive: Duration,
 }
 
 /// What the limits of a process follow from.
-struct Basis {
-    sockets: usize,
+struct LimitInputs {
+    descriptors: usize,
     memory_mb: usize,
     resolution: Duration,
     /// After SIGTERM: until when what is taken is answered, and for how long connections are kept between requests.
-    drain_answer: Duration,
-    drain_keep: Duration,
-    upstream_connect: Duration,
-    upstream_idle: Duration,
+    drain_response_time: Duration,
+    drain_keepalive: Duration,
+    upstream_connect_timeout: Duration,
+    upstream_idle_timeout: Duration,
     /// For how long after it was told what binds may still be broken.
     drain_grace: Duration,
     /// An admin address is served.
-    admin: bool,
+    has_admin_listener: bool,
 }
 
 fn time(m: Micros) -> Duration {
@@ -124,106 +124,106 @@
 
 impl Limits {
     /// The limits that follow from the platform's configuration.
-    pub fn new(config: &Config) -> Limits {
+    pub fn from_platform(config: &Config) -> Limits {
         // SIGKILL follows SIGTERM no sooner than the longest deadline, taken as 3 s at the most, and 0.7 s.
         let deadlines = config.site.settings.classes.iter().map(|c| time(c.deadline));
         let longest = deadlines.max().unwrap_or_default().min(Duration::from_secs(3));
         let drain_answer = longest + Duration::from_millis(500);
-        Limits::from(Basis {
-            sockets: config.sockets,
+        Limits::from(LimitInputs {
+            descriptors: config.max_descriptors,
             memory_mb: config.memory_mb,
             resolution: time(config.site.settings.resolution),
-            drain_answer,
-            drain_keep: drain_keep(config.site.settings.instances, drain_answer),
-            upstream_connect: config.dial_timeout.map_or(Duration::from_millis(250), time),
-            upstream_idle: time(config.site.settings.idle_close) * 2 / 3,
+            drain_response_time: drain_answer,
+            drain_keepalive: drain_keep(config.site.settings.instances, drain_answer),
+            upstream_connect_timeout: config.dial_timeout.map_or(Duration::from_millis(250), time),
+            upstream_idle_timeout: time(config.site.settings.idle_close) * 2 / 3,
             drain_grace: config.drain_grace.map_or(Duration::ZERO, time),
-            admin: config.admin.is_some(),
+            has_admin_listener: config.admin_address.is_some(),
         })
     }
 
     /// The limits that follow from an operator's file. Nothing there says when SIGKILL follows SIGTERM: as is
     /// common, 30 s are left for the longest request, and callers get 2 s to find another way.
-    pub fn of_operator(operator: &Operator) -> Limits {
+    pub fn from_operator(operator: &OperatorConfig) -> Limits {
         let deadlines = operator.routes.iter().map(|(r, _)| time(r.deadline.ceiling));
         let longest = deadlines.max().unwrap_or_default();
         let drain_answer =
             longest.clamp(Duration::from_secs(3), Duration::from_secs(30)) + Duration::from_millis(500);
-        Limits::from(Basis {
-            sockets: operator.descriptors,
+        Limits::from(LimitInputs {
+            descriptors: operator.max_descriptors,
             memory_mb: operator.memory_mb,
             resolution: Duration::ZERO,
-            drain_answer,
-            drain_keep: Duration::from_secs(2),
-            upstream_connect: Duration::from_millis(250),
-            upstream_idle: Duration::from_secs(40),
+            drain_response_time: drain_answer,
+            drain_keepalive: Duration::from_secs(2),
+            upstream_connect_timeout: Duration::from_millis(250),
+            upstream_idle_timeout: Duration::from_secs(40),
             drain_grace: Duration::from_millis(500),
-            admin: operator.admin.is_some(),
+            has_admin_listener: operator.admin_address.is_some(),
         })
     }
 
     /// Takes over the times that follow from the settings. Sizes and counts stay: sockets and buffers have them
     /// already.
-    pub fn take_times(&mut self, of: &Limits) {
+    pub fn update_times(&mut self, of: &Limits) {
         self.resolution = of.resolution;
-        self.upstream_connect = of.upstream_connect;
-        self.upstream_idle = of.upstream_idle;
-        self.discovery_silence = of.discovery_silence;
-        self.drain_keep = of.drain_keep;
-        self.drain_accept = of.drain_accept;
-        self.drain_answer = of.drain_answer;
+        self.upstream_connect_timeout = of.upstream_connect_timeout;
+        self.upstream_idle_timeout = of.upstream_idle_timeout;
+        self.discovery_idle_timeout = of.discovery_idle_timeout;
+        self.drain_keepalive = of.drain_keepalive;
+        self.drain_accept_time = of.drain_accept_time;
+        self.drain_response_time = of.drain_response_time;
     }
 
-    fn from(basis: Basis) -> Limits {
-        let admin_connections = if basis.admin { 8 } else { 0 };
+    fn from(basis: LimitInputs) -> Limits {
+        let admin_connections = if basis.has_admin_listener { 8 } else { 0 };
         // The admin listener and its connections come off what clients and upstreams may hold.
-        let connections =
-            connections(basis.sockets).saturating_sub(admin_connections + usize::from(basis.admin));
+        let connections = max_connections(basis.descriptors)
+            .saturating_sub(admin_connections + usize::from(basis.has_admin_listener));
         Limits {
             resolution: basis.resolution,
-            head_bytes: 16 << 10,
-            headers: 64,
-            body_bytes: 64 << 10,
-            message_bytes: 96 << 10,
-            answer_body_bytes: 1 << 20,
-            answer_bytes: (1 << 20) + (64 << 10),
-            answers_bytes: (basis.memory_mb << 20) / 8,
-            read_bytes: 16 << 10,
-            kept_bytes: 4 << 10,
-            chunk_line_bytes: 4 << 10,
-            line_bytes: 4 << 20,
-            backlog: 1024,
-            callers: connections * 5 / 8,
-            connections,
-            accept_rest: Duration::from_millis(20),
-            caller_idle: Duration::from_secs(10),
-            caller_request: Duration::from_secs(2),
-            caller_fresh: Duration::from_millis(100),
-            caller_linger: Duration::from_secs(2),
-            caller_discard: 256 << 10,
-            caller_bytes: (basis.memory_mb << 20) / 8,
-            caller_ahead_bytes: 1 << 20,
-            upstream_connect: basis.upstream_connect,
-            upstream_idle: basis.upstream_idle,
-            upstream_idle_least: Duration::from_millis(50),
-            upstream_stale: Duration::from_millis(20),
-            upstream_idle_memory: Duration::from_secs(30),
-            upstream_rest: Duration::from_millis(20),
-            discovery_connect: DISCOVERY_CONNECT,
-            discovery_answer: Duration::from_millis(3500),
-            discovery_silence: discovery_silence(basis.drain_grace),
-            sweep: Duration::from_millis(250),
-            drain_keep: basis.drain_keep,
-            drain_accept: basis.drain_keep + Duration::from_millis(200),
+            max_head_bytes: 16 << 10,
+            max_headers: 64,
+            max_request_body_bytes: 64 << 10,
+            max_request_bytes: 96 << 10,
+            max_response_body_bytes: 1 << 20,
+            max_response_bytes: (1 << 20) + (64 << 10),
+            max_long_responses_bytes: (basis.memory_mb << 20) / 8,
+            read_chunk_bytes: 16 << 10,
+            retained_buffer_bytes: 4 << 10,
+            max_chunk_line_bytes: 4 << 10,
+            max_discovery_line_bytes: 4 << 20,
+            listen_backlog: 1024,
+            max_caller_connections: connections * 5 / 8,
+            max_connections: connections,
+            accept_pause: Duration::from_millis(20),
+            caller_idle_timeout: Duration::from_secs(10),
+            caller_request_timeout: Duration::from_secs(2),
+            caller_min_age_to_evict: Duration::from_millis(100),
+            caller_linger_timeout: Duration::from_secs(2),
+            caller_discard_bytes: 256 << 10,
+            max_callers_buffered_bytes: (basis.memory_mb << 20) / 8,
+            max_caller_read_ahead_bytes: 1 << 20,
+            upstream_connect_timeout: basis.upstream_connect_timeout,
+            upstream_idle_timeout: basis.upstream_idle_timeout,
+            min_upstream_idle_timeout: Duration::from_millis(50),
+            upstream_stale_break_window: Duration::from_millis(20),
+            learned_idle_timeout_ttl: Duration::from_secs(30),
+            upstream_reuse_delay: Duration::from_millis(20),
+            discovery_connect_timeout: DISCOVERY_CONNECT,
+            discovery_response_timeout: Duration::from_millis(3500),
+            discovery_idle_timeout: discovery_silence(basis.drain_grace),
+            sweep_interval: Duration::from_millis(250),
+            drain_keepalive: basis.drain_keepalive,
+            drain_accept_time: basis.drain_keepalive + Duration::from_millis(200),
             drain_linger: Duration::from_millis(250),
-            drain_answer: basis.drain_answer,
-            nodes_poll: Duration::from_millis(250),
-            reload_rest: Duration::from_millis(50),
-            reload_wait: Duration::from_secs(2),
-            log_lines: 1024,
-            admin_connections,
-            admin_call: Duration::from_millis(900),
-            drain_idle: Duration::from_secs(1),
+            drain_response_time: basis.drain_response_time,
+            nodes_poll_interval: Duration::from_millis(250),
+            reload_settle_time: Duration::from_millis(50),
+            reload_settle_timeout: Duration::from_secs(2),
+            log_queue_lines: 1024,
+            max_admin_connections: admin_connections,
+            admin_call_timeout: Duration::from_millis(900),
+            admin_drain_keepalive: Duration::from_secs(1),
         }
     }
 }
@@ -253,7 +253,7 @@
 
 /// The connections that so many descriptors leave room for: the rest is for listeners, loop, signals, discovery,
 /// standard streams and what is about to close.
-pub fn connections(descriptors: usize) -> usize {
+pub fn max_connections(descriptors: usize) -> usize {
     descriptors - (descriptors / 16).max(24).min(descriptors)
 }
 
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -10,7 +10,7 @@
 /// The settings as they are written, with their names and units.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Facts<'a> {
+pub struct PlatformSettings<'a> {
     #[serde(borrow)]
     pub(crate) az: Cow<'a, str>,
     #[serde(borrow)]
@@ -18,7 +18,7 @@
     pub(crate) contract: Contract,
     #[serde(borrow)]
     pub(crate) grades: Vec<Grade<'a>>,
-    pub(crate) limits: Allowed,
+    pub(crate) limits: SettingsLimits,
     pub(crate) n_instances: u32,
     pub(crate) me: u32,
     #[serde(borrow)]
@@ -37,14 +37,14 @@
     pub(crate) worth_by: Cow<'a, str>,
 }
 
-impl Default for Facts<'_> {
+impl Default for PlatformSettings<'_> {
     fn default() -> Self {
-        Facts {
+        PlatformSettings {
             az: "".into(),
             azs: Vec::new(),
             contract: Contract::default(),
             grades: Vec::new(),
-            limits: Allowed::default(),
+            limits: SettingsLimits::default(),
             n_instances: 1,
             me: 0,
             kinds: Vec::new(),
@@ -107,7 +107,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub(crate) struct Allowed {
+pub(crate) struct SettingsLimits {
     pub(crate) idle_close_us: Option<i64>,
     pub(crate) may_cancel: bool,
     pub(crate) parallel_tries: bool,
@@ -126,7 +126,7 @@
     pub(crate) quota_rps: Option<f64>,
 }
 
-impl Facts<'_> {
+impl PlatformSettings<'_> {
     /// Checks the settings and turns them into the module's; the message names the key at fault.
     pub fn site(&self) -> Result<Site, String> {
         let f = self;
@@ -184,7 +184,7 @@
 }
 
 /// What decoding alone does not find.
-fn check(f: &Facts<'_>) -> Result<(), String> {
+fn check(f: &PlatformSettings<'_>) -> Result<(), String> {
     let wrong = |key: String, what: &str| Err(format!("settings.{key}: {what}"));
     if f.n_instances == 0 {
         return wrong("NInstances".into(), "must be 1 or more");
@@ -241,20 +241,20 @@
 }
 
 /// Decodes one list as the platform's discovery writes it.
-pub fn decode_hosts(json: &[u8]) -> Result<HostList, String> {
+pub fn decode_host_list(json: &[u8]) -> Result<HostList, String> {
     host_list(from_json(json)?)
 }
 
 /// Takes the lists that are whole off the front of `text`, however they are laid out: on one line or on many, several
 /// on one. What is not whole yet stays. The lists before a value that makes no sense are good; the error is about it.
-pub fn take_host_lists(text: &mut Vec<u8>) -> (Vec<HostList>, Result<(), String>) {
+pub fn drain_host_lists(text: &mut Vec<u8>) -> (Vec<HostList>, Result<(), String>) {
     let (mut lists, mut used) = (Vec::new(), 0);
     let mut values = serde_json::Deserializer::from_slice(text).into_iter::<IgnoredAny>();
     let result = loop {
         match values.next() {
             Some(Ok(_)) => {
                 let end = values.byte_offset();
-                match decode_hosts(text[used..end].trim_ascii()) {
+                match decode_host_list(text[used..end].trim_ascii()) {
                     Ok(list) => lists.push(list),
                     Err(e) => break Err(e),
                 }
@@ -306,22 +306,22 @@
     /// Its name.
     pub name: String,
     /// Where clients connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where discovery answers.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators call (`GW_ADMIN_ADDR`, else `admin_addr`); `None`: nowhere.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Where the file alone says so: a change here is followed while the program runs, which no change of the
     /// environment can reach.
-    pub discovery_in_file: Option<SocketAddr>,
+    pub discovery_address_in_file: Option<SocketAddr>,
     /// For random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that the process may use.
     pub memory_mb: usize,
     /// The list as this balancer last had it.
-    pub known: HostList,
+    pub known_hosts: HostList,
     /// The module's settings.
     pub site: Site,
     /// How long a connection to an upstream may take.
@@ -329,7 +329,7 @@
     /// How long after being told that an upstream drains something new may still go there.
     pub drain_grace: Option<Micros>,
     /// Every attempt and every request gets a line in the log.
-    pub debug: bool,
+    pub debug_logging: bool,
 }
 
 #[derive(Deserialize)]
@@ -349,7 +349,7 @@
     #[serde(borrow, default)]
     known: Option<RawList<'a>>,
     #[serde(borrow)]
-    settings: Facts<'a>,
+    settings: PlatformSettings<'a>,
 }
 
 #[derive(Deserialize, Default)]
@@ -414,17 +414,17 @@
             })?),
         };
         Ok(Config {
-            debug,
-            admin,
+            debug_logging: debug,
+            admin_address: admin,
             name: either("GW_NAME", "name", &raw.name)?,
-            listen: address("GW_LISTEN", "listen", &raw.listen)?,
-            discovery: address("GW_DISCOVERY", "discovery", &raw.discovery)?,
-            discovery_in_file: in_file
+            listen_address: address("GW_LISTEN", "listen", &raw.listen)?,
+            discovery_address: address("GW_DISCOVERY", "discovery", &raw.discovery)?,
+            discovery_address_in_file: in_file
                 .map_err(|_| format!("{path}: discovery: not an address with a port"))?,
             seed: seed.map_err(|_| format!("{path}: seed: {:?} is not 16 hex digits", raw.seed))?,
-            sockets,
+            max_descriptors: sockets,
             memory_mb,
-            known: host_list(known).map_err(|e| format!("{path}: known.{e}"))?,
+            known_hosts: host_list(known).map_err(|e| format!("{path}: known.{e}"))?,
             dial_timeout: raw.settings.limits.dial_timeout_us.map(Micros),
             drain_grace: raw.settings.contract.drain_grace_us.map(Micros),
             site,
@@ -434,7 +434,7 @@
 
 /// For how long a list is as good as a watch: until what it lacks counts as told, whatever settings say. What is decided until
 /// then may wait for a connection, and for a processor: the grace covers that, or else the lease does.
-fn list_lease(settings: &Facts<'_>) -> Micros {
+fn list_lease(settings: &PlatformSettings<'_>) -> Micros {
     const HELD_UP: Micros = Micros(150_000);
     let grace = Micros(settings.contract.drain_grace_us.unwrap_or(0));
     let connecting = Micros(settings.limits.dial_timeout_us.unwrap_or(0));
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -1,6 +1,6 @@
 //! The operator's file: what is accepted, and that everything wrong is told at once with line, key and remedy.
 
-use garnettally_config::file::{parse, parse_nodes, Operator, Problems};
+use garnettally_config::file::{parse, parse_nodes, OperatorConfig, Problems};
 use proptest::prelude::*;
 
 const EXAMPLE: &str = include_str!("../../../deploy/edge.example.toml");
@@ -12,7 +12,7 @@
     }
 }
 
-fn accepted(text: &str) -> Operator {
+fn accepted(text: &str) -> OperatorConfig {
     parse("f.toml", text).unwrap_or_else(|p| panic!("{p}"))
 }
 
@@ -241,7 +241,7 @@
         let rest = if cut { "" } else { &EXAMPLE[at..] };
         if let Err(Problems(all)) = parse("f.toml", &format!("{}{what}{rest}", &EXAMPLE[..at])) {
             prop_assert!(!all.is_empty());
-            prop_assert!(all.iter().all(|p| !p.what.is_empty()));
+            prop_assert!(all.iter().all(|p| !p.message.is_empty()));
         }
     }
 }
@@ -255,7 +255,7 @@
     assert!(accepted(SMALL).fleet.is_none());
     let f = accepted(&with_fleet("seeds = [\"127.0.0.1:7401\"]")).fleet.unwrap();
     assert_eq!((f.advertise, f.seeds.len(), f.ask_peers), (f.address, 1, 3));
-    assert_eq!((f.suspicion.as_secs(), f.max_age.as_secs(), f.size_floor), (3, 20, 1));
+    assert_eq!((f.suspicion_timeout.as_secs(), f.max_age.as_secs(), f.size_floor), (3, 20, 1));
 }
 
 /// Keys of `[fleet]` that contradict each other get a message that names both.
--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -136,7 +136,7 @@
 
     /// When the oldest connection's time is up.
     pub fn next_wake(&self, net: &Net) -> Option<Instant> {
-        let calls = self.conns.values().map(|c| c.since + net.limits.admin_call);
+        let calls = self.conns.values().map(|c| c.since + net.limits.admin_call_timeout);
         calls.chain(self.rest).min()
     }
 
@@ -147,7 +147,7 @@
 
     /// Whether idle connections of clients are to close now: the front has stopped sending new ones.
     pub fn close_idle(&self, net: &Net, now: Instant) -> bool {
-        self.failed_at.is_some_and(|at| now >= at + net.limits.drain_idle)
+        self.failed_at.is_some_and(|at| now >= at + net.limits.admin_drain_keepalive)
     }
 
     /// Stops listening, at the end.
@@ -165,7 +165,7 @@
         let late: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| now >= c.since + net.limits.admin_call)
+            .filter(|(_, c)| now >= c.since + net.limits.admin_call_timeout)
             .map(|(&id, _)| id)
             .collect();
         if self.rest.is_some_and(|at| at <= now) {
@@ -236,7 +236,7 @@
                         None => {
                             if let Some((_, token)) = &self.admin.listener {
                                 let _ = self.net.handle.disable(token);
-                                self.admin.rest = Some(Instant::now() + self.net.limits.accept_rest);
+                                self.admin.rest = Some(Instant::now() + self.net.limits.accept_pause);
                             }
                             return;
                         }
@@ -244,7 +244,7 @@
                     continue;
                 }
             };
-            while self.admin.conns.len() >= self.net.limits.admin_connections {
+            while self.admin.conns.len() >= self.net.limits.max_admin_connections {
                 let Some(oldest) = self.admin.conns.keys().next().copied() else { break };
                 self.admin.drop_conn(&self.net, oldest);
             }
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::pools::PoolId;
 use crate::Proxy;
 use garnettally_config::file::format::LogRequests;
-use garnettally_config::file::Operator;
+use garnettally_config::file::OperatorConfig;
 use garnettally_decisions::facade::{ClassId, Effect, KeyId, Micros, TenantId};
 use garnettally_model::key;
 use garnettally_routing::budget::HolderId;
@@ -37,7 +37,7 @@
 impl Version {
     /// Puts a checked file in force, with the pools that its own stand for.
     pub fn new(
-        operator: Operator,
+        operator: OperatorConfig,
         pools: Vec<PoolId>,
         mut holder: impl FnMut(&str, garnettally_routing::budget::Share) -> HolderId,
     ) -> Version {
@@ -52,7 +52,7 @@
             classes: operator
                 .classes
                 .into_iter()
-                .zip(operator.class_facts.iter().map(|c| c.effect))
+                .zip(operator.class_settings.iter().map(|c| c.effect))
                 .collect(),
             tenants: tenants.collect(),
         }
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -93,7 +93,7 @@
     socket.set_reuse_port(shared)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(net.limits.backlog)?;
+    socket.listen(net.limits.listen_backlog)?;
     Ok(TcpListener::from(socket))
 }
 
@@ -117,7 +117,7 @@
             connections: budgets.connections.join(plan.connections),
             callers: budgets.callers.join(plan.connections),
             requests: budgets.requests.join(plan.requests),
-            memory: plan.memory,
+            memory: plan.memory_bytes,
         };
         self.listeners.insert(id, listener);
         Ok(())
@@ -135,7 +135,7 @@
             budgets.connections.change(l.connections, plan.connections);
             budgets.callers.change(l.callers, plan.connections);
             budgets.requests.change(l.requests, plan.requests);
-            l.memory = plan.memory;
+            l.memory = plan.memory_bytes;
         }
     }
 
@@ -342,7 +342,7 @@
         if let Some((_, token)) = &listener.socket {
             warn!(self.net.log, "accepting rests"; "why" => why, "callers" => callers, "listener" => &listener.name);
             let _ = self.net.handle.disable(token);
-            listener.resume = Some(Instant::now() + self.net.limits.accept_rest);
+            listener.resume = Some(Instant::now() + self.net.limits.accept_pause);
         }
     }
 
@@ -397,8 +397,8 @@
         // One request and its head at a time; what lies beyond stays in the socket.
         let limits = &self.net.limits;
         let (read_bytes, caller_bytes, discard) =
-            (limits.read_bytes, limits.caller_bytes, limits.caller_discard);
-        let most = if conn.state == State::Reading { limits.message_bytes } else { read_bytes };
+            (limits.read_chunk_bytes, limits.max_callers_buffered_bytes, limits.caller_discard_bytes);
+        let most = if conn.state == State::Reading { limits.max_request_bytes } else { read_bytes };
         let (was_idle, listener) = (conn.idle(), conn.listener);
         if conn.state == State::Lingering {
             conn.ahead = VecDeque::new();
@@ -459,7 +459,8 @@
 
     /// Reads what lies behind the input, as far as the limits allow.
     fn read_ahead(&mut self, id: ConnId) -> Reading {
-        let (most, together) = (self.net.limits.caller_ahead_bytes, self.net.limits.caller_bytes);
+        let (most, together) =
+            (self.net.limits.max_caller_read_ahead_bytes, self.net.limits.max_callers_buffered_bytes);
         let Some(conn) = self.callers.conns.get(&id) else { return Reading::Open };
         let room = most.saturating_sub(conn.ahead.len());
         if room == 0 || self.callers.hold_too_much(conn.listener, together) {
@@ -514,7 +515,7 @@
                 return;
             }
             match http::request(&conn.input, &self.net.limits) {
-                Ok(Incoming::Partial { .. }) if conn.input.len() > self.net.limits.message_bytes => {
+                Ok(Incoming::Partial { .. }) if conn.input.len() > self.net.limits.max_request_bytes => {
                     return self.reject_caller(id, Bad(413));
                 }
                 Ok(Incoming::Partial { expects }) => {
@@ -528,7 +529,7 @@
                 }
                 Ok(Incoming::Whole(request, used)) => {
                     conn.input.drain(..used);
-                    conn.input.shrink_to(self.net.limits.kept_bytes);
+                    conn.input.shrink_to(self.net.limits.retained_buffer_bytes);
                     (conn.continued, conn.spoke, conn.since) = (false, true, Instant::now());
                     conn.close = !request.keep_alive;
                     if request.path() == "/ready" {
@@ -601,7 +602,7 @@
             return self.caller_left(id);
         }
         if conn.output.is_empty() {
-            conn.output.shrink_to(self.net.limits.kept_bytes);
+            conn.output.shrink_to(self.net.limits.retained_buffer_bytes);
         }
     }
 
@@ -613,15 +614,16 @@
             let age = now.saturating_duration_since(c.since);
             match c.state {
                 State::Waiting(_) => {}
-                State::Lingering if c.written < c.output.len() && age < limits.caller_request => {}
-                State::Lingering if age >= limits.caller_linger => old.push(id),
+                State::Lingering if c.written < c.output.len() && age < limits.caller_request_timeout => {}
+                State::Lingering if age >= limits.caller_linger_timeout => old.push(id),
                 State::Reading if c.idle() => {
-                    let most = if c.spoke { limits.caller_idle } else { limits.caller_request };
+                    let most =
+                        if c.spoke { limits.caller_idle_timeout } else { limits.caller_request_timeout };
                     if age >= most {
                         old.push(id);
                     }
                 }
-                State::Reading if age >= limits.caller_request => slow.push(id),
+                State::Reading if age >= limits.caller_request_timeout => slow.push(id),
                 _ => {}
             }
         }
@@ -678,7 +680,7 @@
             return true;
         }
         // Only those that are not about to ask.
-        let fresh = Instant::now().checked_sub(self.net.limits.caller_fresh);
+        let fresh = Instant::now().checked_sub(self.net.limits.caller_min_age_to_evict);
         while let Some(id) = self.callers.oldest_idle(fresh, &fits) {
             self.end_if_idle(id);
             if self.callers.conns.get(&id).is_some_and(|c| c.state == State::Lingering) {
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::socket_errors::is_local_shortage;
 use crate::source::Source;
 use crate::{Proxy, Reading, Watched};
-use garnettally_config::platform::take_host_lists;
+use garnettally_config::platform::drain_host_lists;
 use garnettally_decisions::facade::{CallFailure, Report};
 use garnettally_model::HostList;
 use slog::{info, warn};
@@ -202,7 +202,7 @@
         };
         let output =
             format!("GET /v1/endpoints?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        let deadline = Instant::now() + self.net.limits.discovery_connect;
+        let deadline = Instant::now() + self.net.limits.discovery_connect_timeout;
         info!(self.net.log, "discovery is asked"; "seq" => version, "call" => number);
         self.stats.discovery_asked();
         if let Some(discovery) = self.discovery(pool) {
@@ -294,7 +294,7 @@
     }
 
     fn discovery_ready(&mut self, pool: PoolId, number: u64, writable: bool) {
-        let answer_by = Instant::now() + self.net.limits.discovery_answer;
+        let answer_by = Instant::now() + self.net.limits.discovery_response_timeout;
         let mine = |d: &&mut Discovery| d.watches(number);
         let Some(watch) = self.discovery(pool).filter(&mine).and_then(|d| d.watch.as_mut()) else { return };
         if watch.written < watch.output.len() && writable {
@@ -310,7 +310,7 @@
             return;
         }
         loop {
-            let most = self.net.limits.read_bytes.max(self.net.limits.head_bytes);
+            let most = self.net.limits.read_chunk_bytes.max(self.net.limits.max_head_bytes);
             // The input is taken out while it is read into: the pools and the scratch space are both of the proxy.
             let Some(watch) = self.discovery(pool).filter(&mine).and_then(|d| d.watch.as_mut()) else {
                 return;
@@ -350,7 +350,7 @@
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         let Some(chunks) = watch.chunks.as_mut() else { return Ok(()) };
         let before = watch.text.len();
-        let used = chunks.read(&watch.input, limits.line_bytes, &limits, &mut watch.text);
+        let used = chunks.read(&watch.input, limits.max_discovery_line_bytes, &limits, &mut watch.text);
         let used = used.map_err(|_| BadAnswer::unreadable("its chunks make no sense"))?;
         watch.input.drain(..used);
         let done = chunks.done;
@@ -360,7 +360,7 @@
         // A list ends with a brace: what has brought none of them is not whole yet, unless it is no list at all.
         let opens = watch.text.trim_ascii_start().first().is_none_or(|&b| b == b'{');
         if watch.text[before..].contains(&b'}') || !opens || alive {
-            (lists, result) = take_host_lists(&mut watch.text);
+            (lists, result) = drain_host_lists(&mut watch.text);
             alive |= !lists.is_empty();
         }
         let mut first = false;
@@ -368,7 +368,7 @@
         let as_of = if watch.heard.is_none() { watch.asked } else { looked };
         if alive {
             first = watch.heard.replace(now).is_none();
-            watch.deadline = now + limits.discovery_silence;
+            watch.deadline = now + limits.discovery_idle_timeout;
         }
         let told = lists.len();
         let mut older = false;
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -96,7 +96,7 @@
             roster: garnettally_verdicts::hash(&plan.voters.join("\n")),
             me: number,
             lease: Micros(plan.lease.as_micros() as i64),
-            duties: plan.all(),
+            duties: plan.all_names(),
         };
         let mut jobs = None;
         if let (Some(folder), Some(_)) = (plan.folder.clone(), number) {
@@ -162,7 +162,7 @@
                 found.map(|(id, _)| id.boot).ok_or(format!("no member called {name:?} is alive"))?
             }
         };
-        let all = self.plan.all();
+        let all = self.plan.all_names();
         if !all.iter().any(|n| n == duty) {
             return Err(format!("no duty is called {duty:?}; there are {}", all.join(", ")));
         }
--- a/crates/serve/src/export.rs
+++ b/crates/serve/src/export.rs
@@ -80,7 +80,7 @@
 
 impl Export {
     pub fn new(plan: Plan, now: Instant) -> Export {
-        let next = now + plan.every;
+        let next = now + plan.interval;
         Export { plan, tell_at: now, next, call: None, sent: (0, 0), taken: 0, refused: 0, failed: 0 }
     }
 
@@ -99,7 +99,7 @@
             self.fail(net, "silence");
         }
         if self.call.is_none() && self.next <= now {
-            self.next = now + self.plan.every;
+            self.next = now + self.plan.interval;
             if duties.may_act(DUTY).is_some() {
                 self.begin(net, now);
             }
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -57,15 +57,15 @@
     let member = garnettally_peers::Settings {
         seeds: s.seeds.clone(),
         probe_period: s.probe_period,
-        suspicion: s.suspicion,
+        suspicion: s.suspicion_timeout,
         forget_after: s.forget_after,
         ask_every: s.ask_every,
         ask_peers: s.ask_peers,
         // An answer that was under way for longer than a probe may be is as good as lost.
         ask_timeout: s.probe_period,
         max_age: s.max_age,
-        facts_most: s.facts,
-        members_most: s.members,
+        facts_most: s.max_facts,
+        members_most: s.max_members,
         size_floor: s.size_floor,
         size_hold: s.size_hold,
         ..garnettally_peers::Settings::new(&s.name, &s.zone, s.advertise)
@@ -74,8 +74,8 @@
         member,
         bind: s.address,
         key_file: s.key_file.clone(),
-        send_bytes: s.send_bytes,
-        receive_datagrams: s.receive_datagrams,
+        send_bytes: s.max_send_bytes_per_second,
+        receive_datagrams: s.max_receive_datagrams_per_second,
     }
 }
 
--- a/crates/serve/src/http.rs
+++ b/crates/serve/src/http.rs
@@ -150,12 +150,12 @@
 pub fn request(buf: &[u8], limits: &Limits) -> Result<Incoming, Bad> {
     // Empty lines before a request are passed over.
     let start = buf.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Request::new(&mut space);
     let head_len = match head.parse(&buf[start..]) {
-        Ok(Status::Complete(n)) if n <= limits.head_bytes => start + n,
+        Ok(Status::Complete(n)) if n <= limits.max_head_bytes => start + n,
         Ok(Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => return Err(Bad(431)),
-        Ok(Status::Partial) if buf.len() > limits.head_bytes => return Err(Bad(431)),
+        Ok(Status::Partial) if buf.len() > limits.max_head_bytes => return Err(Bad(431)),
         Ok(Status::Partial) => return Ok(Incoming::Partial { expects: false }),
         Err(_) => return Err(Bad(400)),
     };
@@ -174,7 +174,8 @@
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
-    let Some((body, used)) = body(&buf[head_len..], framing, false, limits.body_bytes, limits)? else {
+    let Some((body, used)) = body(&buf[head_len..], framing, false, limits.max_request_body_bytes, limits)?
+    else {
         return Ok(Incoming::Partial { expects: fields.expects && buf.len() == head_len });
     };
     let text = |name: &str| -> Result<Option<String>, Bad> {
@@ -204,13 +205,13 @@
 
 /// Reads an answer that must be the only thing in `buf`; `ended`: no more will come; `bare`: it answers a HEAD.
 pub fn answer(buf: &[u8], ended: bool, bare: bool, limits: &Limits) -> Result<Option<Answer>, Bad> {
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut at = 0;
     loop {
         let mut head = httparse::Response::new(&mut space);
         let n = match head.parse(&buf[at..]) {
-            Ok(Status::Complete(n)) if n <= limits.head_bytes => n,
-            Ok(Status::Partial) if !ended && buf.len() - at <= limits.head_bytes => return Ok(None),
+            Ok(Status::Complete(n)) if n <= limits.max_head_bytes => n,
+            Ok(Status::Partial) if !ended && buf.len() - at <= limits.max_head_bytes => return Ok(None),
             _ => return Err(Bad(502)),
         };
         let (status, version) = (head.code.unwrap_or(0), head.version.unwrap_or(0));
@@ -225,7 +226,7 @@
             (false, Some(n)) => Framing::Length(n),
             (false, None) => Framing::Close,
         };
-        let whole = body(&buf[at..], framing, ended, limits.answer_body_bytes, limits)
+        let whole = body(&buf[at..], framing, ended, limits.max_response_body_bytes, limits)
             .map_err(|Bad(s)| Bad(if s == 413 { 413 } else { 502 }))?;
         let Some((body, used)) = whole else {
             return if ended { Err(Bad(502)) } else { Ok(None) };
@@ -405,7 +406,7 @@
                 }
             } else if self.trailers {
                 let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-                    if rest.len() > limits.chunk_line_bytes {
+                    if rest.len() > limits.max_chunk_line_bytes {
                         return Err(Bad(400));
                     }
                     break;
@@ -413,7 +414,7 @@
                 (self.done, at) = (end == 0, at + end + 2);
             } else {
                 match httparse::parse_chunk_size(rest).map_err(|_| Bad(400))? {
-                    Status::Partial if rest.len() > limits.chunk_line_bytes => return Err(Bad(400)),
+                    Status::Partial if rest.len() > limits.max_chunk_line_bytes => return Err(Bad(400)),
                     Status::Partial => break,
                     Status::Complete((n, size)) => {
                         at += n;
@@ -432,10 +433,10 @@
 
 /// The head of a chunked answer: whether it is a 200, and its length.
 pub fn stream_head(buf: &[u8], limits: &Limits) -> Result<Option<usize>, Bad> {
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Response::new(&mut space);
     match head.parse(buf) {
-        Ok(Status::Partial) if buf.len() <= limits.head_bytes => Ok(None),
+        Ok(Status::Partial) if buf.len() <= limits.max_head_bytes => Ok(None),
         Ok(Status::Complete(n)) => {
             let status = head.code.unwrap_or(0);
             let chunked = Fields::read(head.headers, 1)?.chunked;
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -182,7 +182,7 @@
     let clock = Clock::new(Instant::now(), SystemTime::now());
     let limits = plan.limits;
     let rng = fastrand::Rng::with_seed(plan.seed);
-    let scratch = vec![0; limits.read_bytes];
+    let scratch = vec![0; limits.read_chunk_bytes];
     let now = Instant::now();
     let rounds = Rounds::new(now);
     let waker = events.handle().insert_source(rounds.waker(), |(), (), _| ());
@@ -190,8 +190,8 @@
     let net = Net { handle: events.handle(), log, rng, rounds, scratch, limits, clock, next: 0 };
     let budgets = pools::Budgets {
         requests: Shared::new(plan.requests),
-        connections: Shared::new(net.limits.connections),
-        callers: Shared::new(net.limits.callers + 1),
+        connections: Shared::new(net.limits.max_connections),
+        callers: Shared::new(net.limits.max_caller_connections + 1),
         copies: Shared::new(usize::MAX),
     };
     let mut listening = callers::Callers::default();
@@ -279,7 +279,7 @@
         self.finish_retune(false);
         self.admin.sweep(&self.net, now);
         if now >= self.next_sweep {
-            self.next_sweep = now + self.net.limits.sweep;
+            self.next_sweep = now + self.net.limits.sweep_interval;
             self.sweep_callers(now);
             self.upstreams.sweep(&self.net, now);
             self.review_pools(now);
@@ -327,11 +327,14 @@
             self.pools.iter().filter_map(|p| p.source.next_wake()).min(),
             self.reload.next_wake(),
             self.callers.resume_at(),
-            self.shutdown.next_wake(self.net.limits.accept_rest),
+            self.shutdown.next_wake(self.net.limits.accept_pause),
             self.admin.next_wake(&self.net),
             // Once passed, closing idle connections goes on at every turn and sweep: no wake of its own, or the
             // loop would spin for the whole drain.
-            self.admin.failed_at.map(|at| at + self.net.limits.drain_idle).filter(|&at| at > Instant::now()),
+            self.admin
+                .failed_at
+                .map(|at| at + self.net.limits.admin_drain_keepalive)
+                .filter(|&at| at > Instant::now()),
             self.next_consultation(),
             self.fleet.as_ref().map(|f| f.next_wake()),
         ];
--- a/crates/serve/src/plan.rs
+++ b/crates/serve/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::upstreams::Terms;
 use crate::Limits;
 use garnettally_config::file::format::LogRequests;
-use garnettally_config::file::{Basis, Fleet, Listener, Nodes, Operator, Pool};
+use garnettally_config::file::{Fleet, Listener, OperatorConfig, Pool, PoolIdentity, PoolNodes};
 use garnettally_config::platform::Config;
 use garnettally_model::{HostList, Site};
 use garnettally_routing::budget::{HolderId, Share};
@@ -44,7 +44,7 @@
     /// As the platform's protocol says: the first part of the path is the class, and there is one pool.
     Platform,
     /// By the routes of the operator's file.
-    Routes(Box<Operator>),
+    Routes(Box<OperatorConfig>),
 }
 
 /// What SIGHUP reads again.
@@ -62,9 +62,9 @@
     /// What its instance of the module is given.
     pub site: Site,
     /// What makes that instance what it is.
-    pub basis: Option<Basis>,
+    pub basis: Option<PoolIdentity>,
     /// Where its nodes are told.
-    pub nodes: Nodes,
+    pub nodes: PoolNodes,
     /// The list as it was last held.
     pub known: Option<HostList>,
     /// How long opening a connection may take.
@@ -92,10 +92,10 @@
             name: "upstreams".into(),
             site: config.site.clone(),
             basis: None,
-            nodes: Nodes::Watch(config.discovery),
-            known: Some(config.known.clone()),
-            connect: limits.upstream_connect,
-            keep: limits.upstream_idle,
+            nodes: PoolNodes::Discovery(config.discovery_address),
+            known: Some(config.known_hosts.clone()),
+            connect: limits.upstream_connect_timeout,
+            keep: limits.upstream_idle_timeout,
             requests: Share::default(),
             connections: Share::default(),
             memory: Share::default(),
@@ -107,13 +107,13 @@
 
     /// The platform's: one listener, one pool.
     pub fn platform(config: Config) -> Plan {
-        let limits = Limits::new(&config);
+        let limits = Limits::from_platform(&config);
         let listener = Listener {
             name: "clients".into(),
-            address: config.listen,
+            address: config.listen_address,
             connections: Share::default(),
             requests: Share::default(),
-            memory: Share::default(),
+            memory_bytes: Share::default(),
         };
         let pool = Plan::platform_pool(&config, &limits);
         Plan {
@@ -125,26 +125,26 @@
             guide: Guide::Platform,
             requests: usize::MAX,
             pins: 0,
-            log_requests: if config.debug { LogRequests::All } else { LogRequests::None },
-            reload: Reload::Platform(config.discovery_in_file),
-            admin: config.admin,
+            log_requests: if config.debug_logging { LogRequests::All } else { LogRequests::None },
+            reload: Reload::Platform(config.discovery_address_in_file),
+            admin: config.admin_address,
             // The platform's pages say that balancers share nothing.
             fleet: None,
         }
     }
 
     /// An operator's, read from this path. A seed that the file does not give is `seed`.
-    pub fn operator(path: String, mut operator: Operator, seed: u64) -> Plan {
+    pub fn operator(path: String, mut operator: OperatorConfig, seed: u64) -> Plan {
         Plan {
             name: operator.name.clone(),
             seed: operator.seed.unwrap_or(seed),
-            limits: Limits::of_operator(&operator),
+            limits: Limits::from_operator(&operator),
             listeners: std::mem::take(&mut operator.listeners),
             pools: std::mem::take(&mut operator.pools).into_iter().map(PoolPlan::from).collect(),
-            requests: operator.requests,
-            pins: operator.pins,
+            requests: operator.max_requests,
+            pins: operator.max_pinned_keys,
             log_requests: operator.logging.requests,
-            admin: operator.admin,
+            admin: operator.admin_address,
             fleet: operator.fleet.take(),
             guide: Guide::Routes(Box::new(operator)),
             reload: Reload::File(path),
@@ -157,17 +157,17 @@
         PoolPlan {
             name: p.name,
             site: p.site,
-            basis: Some(p.basis),
+            basis: Some(p.identity),
             nodes: p.nodes,
             known: None,
             connect: p.connect_timeout,
-            keep: p.keep_idle,
+            keep: p.idle_timeout,
             requests: p.requests,
             connections: p.connections,
-            memory: p.memory,
+            memory: p.memory_bytes,
             failover: p.failover,
             any_success: true,
-            shared_by_fleet: p.shared_by_fleet,
+            shared_by_fleet: p.instances_from_fleet,
         }
     }
 }
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -7,7 +7,7 @@
 use crate::source::{whole, Source};
 use crate::upstreams::Target;
 use crate::{Proxy, Shared};
-use garnettally_config::file::{Basis, Nodes};
+use garnettally_config::file::{PoolIdentity, PoolNodes};
 use garnettally_decisions::facade::{
     Code, Decision, Decisions, ListStanding, Listed, Micros, Report, ServerId,
 };
@@ -32,9 +32,9 @@
     /// The pool that has taken its source over, and hears for both.
     pub told_with: Option<PoolId>,
     /// What makes its instance of the module what it is.
-    pub basis: Option<Basis>,
+    pub basis: Option<PoolIdentity>,
     /// Where its nodes are told, as it is written.
-    pub nodes: Option<Nodes>,
+    pub nodes: Option<PoolNodes>,
     pub requests: HolderId,
     pub copies: HolderId,
     pub connections: HolderId,
@@ -264,14 +264,14 @@
         }
         match &plan.nodes {
             // The address alone moves; a watch on the old one ends.
-            Nodes::Watch(address) if matches!(pool.source, Source::Watch(_)) => {
+            PoolNodes::Discovery(address) if matches!(pool.source, Source::Watch(_)) => {
                 let address = *address;
                 pool.nodes = Some(plan.nodes);
                 self.follow_discovery(id, address);
             }
             nodes => {
                 let (source, told) = Source::new(nodes, now);
-                if let Some(Nodes::Static(hosts)) = Some(nodes) {
+                if let Some(PoolNodes::Static(hosts)) = Some(nodes) {
                     pool.queue(Report::Hosts(whole(hosts.clone())), now);
                 } else if let Some(list) = told {
                     pool.queue(Report::Hosts(list), now);
--- a/crates/serve/src/reload.rs
+++ b/crates/serve/src/reload.rs
@@ -10,7 +10,7 @@
 use crate::plan::{PoolPlan, Reload};
 use crate::pools::PoolId;
 use crate::{Limits, Proxy};
-use garnettally_config::file::{self, Operator};
+use garnettally_config::file::{self, OperatorConfig};
 use garnettally_config::platform::Config;
 use garnettally_routing::budget::HolderId;
 use slog::{error, info, warn};
@@ -69,7 +69,8 @@
         match self.reload.from {
             Reload::Platform(discovery) => self.reload_platform(discovery),
             Reload::File(_) => {
-                let give_up = self.reload.waits.map_or(now + self.net.limits.reload_wait, |(_, at)| at);
+                let give_up =
+                    self.reload.waits.map_or(now + self.net.limits.reload_settle_timeout, |(_, at)| at);
                 self.reload.waits = Some((now, give_up));
                 self.continue_reload(now);
             }
@@ -86,13 +87,15 @@
         };
         self.stats.reloaded(true);
         if !self.shutdown.ending() {
-            self.net.limits.take_times(&Limits::new(&config));
+            self.net.limits.update_times(&Limits::from_platform(&config));
         }
         self.retune_platform(&config);
         info!(self.net.log, "configuration read again; its settings are in force, limits wait for a restart");
         // `GW_DISCOVERY` was given for the file of that time: a change in the file is the later word.
-        if let Some(address) = config.discovery_in_file.filter(|_| config.discovery_in_file != before) {
-            self.reload.from = Reload::Platform(config.discovery_in_file);
+        if let Some(address) =
+            config.discovery_address_in_file.filter(|_| config.discovery_address_in_file != before)
+        {
+            self.reload.from = Reload::Platform(config.discovery_address_in_file);
             for pool in self.pools.ids() {
                 self.follow_discovery(pool, address);
             }
@@ -120,7 +123,7 @@
         let new = self.add_pool(plan, seed, now);
         self.pools.hand_over_source(old, new, now);
         self.reload.settings = Some(print);
-        self.reload.retiring = Some((old, new, now + self.net.limits.reload_wait));
+        self.reload.retiring = Some((old, new, now + self.net.limits.reload_settle_timeout));
         info!(self.net.log, "new settings are taken"; "classes" => config.site.settings.classes.len());
     }
 
@@ -141,7 +144,7 @@
         let Some((_, give_up)) = self.reload.waits.filter(|(look, _)| *look <= now) else { return };
         let Reload::File(path) = &self.reload.from else { return };
         let path = path.clone();
-        let rest = self.net.limits.reload_rest;
+        let rest = self.net.limits.reload_settle_time;
         let before = stamp(&path);
         let loaded = match before {
             Some(stamp) if at_work(stamp, rest) => None,
@@ -174,7 +177,7 @@
     }
 
     /// Puts a checked version in force, whole; or changes nothing and says why.
-    fn apply(&mut self, mut operator: Operator, now: Instant) -> Result<(), String> {
+    fn apply(&mut self, mut operator: OperatorConfig, now: Instant) -> Result<(), String> {
         // What may fail comes first.
         let mut bound: BTreeMap<String, TcpListener> = BTreeMap::new();
         let listening: Vec<_> =
@@ -187,8 +190,8 @@
                 bound.insert(l.name.clone(), socket);
             }
         }
-        self.budgets.requests.resize(operator.requests);
-        self.pins.resize(operator.pins);
+        self.budgets.requests.resize(operator.max_requests);
+        self.pins.resize(operator.max_pinned_keys);
         self.log_requests = operator.logging.requests;
         let (mut added, mut kept, mut replaced) = (Vec::new(), 0, Vec::new());
         let mut ids = Vec::new();
@@ -259,7 +262,7 @@
     }
 
     /// Makes the routes of a version those that requests are matched by.
-    pub fn put_in_force(&mut self, operator: Operator, pools: Vec<PoolId>) {
+    pub fn put_in_force(&mut self, operator: OperatorConfig, pools: Vec<PoolId>) {
         self.reload.versions += 1;
         // A route that stays, by its name, goes on in what it is counted in.
         let before = self.version.take();
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -47,9 +47,9 @@
         if self.shutdown.keep_until.is_none() {
             info!(self.net.log, "told to end");
             let now = Instant::now();
-            self.shutdown.keep_until = Some(now + self.net.limits.drain_keep);
-            self.shutdown.accept_until = Some(now + self.net.limits.drain_accept);
-            self.shutdown.answer_by = Some(now + self.net.limits.drain_answer);
+            self.shutdown.keep_until = Some(now + self.net.limits.drain_keepalive);
+            self.shutdown.accept_until = Some(now + self.net.limits.drain_accept_time);
+            self.shutdown.answer_by = Some(now + self.net.limits.drain_response_time);
         }
     }
 
@@ -69,7 +69,7 @@
             self.accept_all();
             if self.callers.rests() && self.shutdown.answer_by.is_some_and(|by| now < by) {
                 // There is no room for some of it: closing the listener would reset them.
-                self.shutdown.accept_until = Some(now + self.net.limits.accept_rest);
+                self.shutdown.accept_until = Some(now + self.net.limits.accept_pause);
                 return;
             }
             self.callers.stop_listening(&self.net);
--- a/crates/serve/src/source.rs
+++ b/crates/serve/src/source.rs
@@ -6,7 +6,7 @@
 use crate::discovery::Discovery;
 use crate::pools::PoolId;
 use crate::Proxy;
-use garnettally_config::file::{load_nodes, Nodes};
+use garnettally_config::file::{load_nodes, PoolNodes};
 use garnettally_decisions::facade::Report;
 use garnettally_model::{HostList, Listing};
 use slog::{info, warn};
@@ -54,15 +54,15 @@
 
 impl Source {
     /// The source that a configuration names, and the list that it tells by itself.
-    pub fn new(nodes: &Nodes, now: Instant) -> (Source, Option<HostList>) {
+    pub fn new(nodes: &PoolNodes, now: Instant) -> (Source, Option<HostList>) {
         match nodes {
-            Nodes::Static(hosts) => (Source::Static, Some(whole(hosts.clone()))),
-            Nodes::File(path) => {
+            PoolNodes::Static(hosts) => (Source::Static, Some(whole(hosts.clone()))),
+            PoolNodes::File(path) => {
                 let path = path.clone();
                 let file = NodesFile { path, read: None, seen: None, next_look: now, missing: false };
                 (Source::File(file), None)
             }
-            Nodes::Watch(address) => (Source::Watch(Discovery::new(*address, None)), None),
+            PoolNodes::Discovery(address) => (Source::Watch(Discovery::new(*address, None)), None),
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// Reads a pool's file of nodes if it has changed and then rested.
     fn look_at_nodes(&mut self, pool: PoolId, now: Instant) {
-        let poll = self.net.limits.nodes_poll;
+        let poll = self.net.limits.nodes_poll_interval;
         let log = self.net.log.clone();
         let Some(p) = self.pools.get_mut(pool) else { return };
         let name = p.name.clone();
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -132,9 +132,9 @@
 
     /// How long a connection of this upstream may have been idle to be used again.
     fn keep(&self, net: &Net, upstream: Target, now: Instant) -> Duration {
-        let fresh = |at: Instant| now.saturating_duration_since(at) < net.limits.upstream_idle_memory;
+        let fresh = |at: Instant| now.saturating_duration_since(at) < net.limits.learned_idle_timeout_ttl;
         let learned = self.keeps.get(&upstream).filter(|(_, at)| fresh(*at));
-        let told = || self.terms.get(&upstream.pool).map_or(net.limits.upstream_idle, |t| t.keep);
+        let told = || self.terms.get(&upstream.pool).map_or(net.limits.upstream_idle_timeout, |t| t.keep);
         learned.map_or_else(told, |(keep, _)| *keep)
     }
 
@@ -142,10 +142,10 @@
     /// next request tells. From then on their connections idle for less.
     fn learn_keep(&mut self, net: &Net, conn: &Conn, flight: &Flight) {
         let idle = flight.sent.saturating_duration_since(conn.idle_since);
-        let at_once = conn.input.is_empty() && flight.sent.elapsed() < net.limits.upstream_stale;
-        if at_once && idle >= net.limits.upstream_idle_least {
+        let at_once = conn.input.is_empty() && flight.sent.elapsed() < net.limits.upstream_stale_break_window;
+        if at_once && idle >= net.limits.min_upstream_idle_timeout {
             let now = Instant::now();
-            let keep = (idle * 3 / 4).max(net.limits.upstream_idle_least);
+            let keep = (idle * 3 / 4).max(net.limits.min_upstream_idle_timeout);
             let keep = keep.min(self.keep(net, conn.upstream, now));
             self.keeps.insert(conn.upstream, (keep, now));
         }
@@ -204,7 +204,7 @@
     fn take_idle(&mut self, net: &Net, upstream: Target, once: bool) -> Option<ConnId> {
         let now = Instant::now();
         let keep = self.keep(net, upstream, now);
-        let rested = now.checked_sub(net.limits.upstream_rest)?;
+        let rested = now.checked_sub(net.limits.upstream_reuse_delay)?;
         loop {
             let ids = self.idle.get_mut(&upstream)?;
             let conns = &self.conns;
@@ -395,7 +395,7 @@
             self.stats.attempt_written();
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
-        let most = self.net.limits.answer_bytes;
+        let most = self.net.limits.max_response_bytes;
         let reading = self.net.read(&conn.socket.stream, &mut conn.input, most);
         if conn.flight.is_none() {
             // An idle connection has nothing to say but that it ends.
@@ -404,9 +404,9 @@
             }
             return;
         }
-        let large = conn.input.len() > self.net.limits.message_bytes;
+        let large = conn.input.len() > self.net.limits.max_request_bytes;
         let pool = conn.upstream.pool;
-        let crowded = large && self.upstreams.hold_too_much(pool, self.net.limits.answers_bytes);
+        let crowded = large && self.upstreams.hold_too_much(pool, self.net.limits.max_long_responses_bytes);
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         if !conn.input.is_empty() {
             let head = conn.flight.as_ref().is_some_and(|f| f.head);
@@ -456,7 +456,7 @@
             let upstream = conn.upstream;
             (conn.flight, conn.idle_since) = (None, Instant::now());
             conn.input.clear();
-            conn.input.shrink_to(self.net.limits.read_bytes);
+            conn.input.shrink_to(self.net.limits.read_chunk_bytes);
             self.upstreams.flights.remove(&ended.attempt);
             self.upstreams.idle.entry(upstream).or_default().push(id);
         } else {
--- a/src/bin/garnettally-benchlink/wire.rs
+++ b/src/bin/garnettally-benchlink/wire.rs
@@ -1,6 +1,6 @@
 //! The messages of the wire, as they are read and written.
 
-use garnettally_config::platform::Facts;
+use garnettally_config::platform::PlatformSettings;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -73,7 +73,7 @@
     pub balancer: u64,
     pub random_seed: u64,
     #[serde(borrow)]
-    pub facts: Facts<'a>,
+    pub facts: PlatformSettings<'a>,
 }
 
 #[derive(Deserialize)]
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,7 +1,7 @@
 //! `garnettally explain`: which route a request takes, and what follows from it.
 
 use clap::Args;
-use garnettally_config::file::{self, Operator};
+use garnettally_config::file::{self, OperatorConfig};
 use garnettally_decisions::Effect;
 use garnettally_routing::pattern::{Headers, HostPattern, Matcher, Segment, Subject, Test};
 use garnettally_routing::route::{Pools, Route, Source};
@@ -56,7 +56,7 @@
 }
 
 /// Routes that fit but for method, headers or query.
-fn nearly(o: &Operator, s: &Subject<'_>) -> String {
+fn nearly(o: &OperatorConfig, s: &Subject<'_>) -> String {
     let host = host_of(s);
     let near = o.routes.iter().filter(|(r, _)| r.matcher.host.fits(&host) && r.matcher.path.fits(s.path));
     let names: Vec<&str> = near.map(|(r, _)| r.name.as_str()).take(5).collect();
@@ -72,7 +72,7 @@
     host.trim_end_matches('.').to_ascii_lowercase()
 }
 
-fn told(o: &Operator, s: &Subject<'_>, at: usize, params: &Params<'_>) -> String {
+fn told(o: &OperatorConfig, s: &Subject<'_>, at: usize, params: &Params<'_>) -> String {
     let (route, _) = &o.routes[at];
     let mut out = String::new();
     let mut line = |name: &str, value: String| {
@@ -89,7 +89,7 @@
     for other in others.iter().take(5) {
         line("not", format!("{}: less specific, {}", other.name, matcher(&other.matcher)));
     }
-    let effect = match o.class_facts[route.class.0 as usize].effect {
+    let effect = match o.class_settings[route.class.0 as usize].effect {
         Effect::Safe => "safe to repeat".to_string(),
         Effect::Keyed { window, .. } => format!("keyed, for {}", ms(window.0)),
         Effect::Unsafe => "never repeated".to_string(),
@@ -107,7 +107,7 @@
     line("tenant", if unknown { format!("{tenant}: not named in the file, counts as none") } else { tenant });
     let (key, key_text) = value(&route.key);
     line("key", key);
-    if key_text.is_none() && matches!(o.class_facts[route.class.0 as usize].effect, Effect::Keyed { .. }) {
+    if key_text.is_none() && matches!(o.class_settings[route.class.0 as usize].effect, Effect::Keyed { .. }) {
         line("answer", "400: its class is keyed, and it has no key".into());
     }
     line(
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -17,8 +17,10 @@
     };
     match logging.json {
         // Whole lines at a time: its own writes are of single tokens, which another writer could come between.
-        true => logger(slog_json::Json::default(LineWriter::new(std::io::stderr())), logging.queue, level),
-        false => text(logging.queue, level),
+        true => {
+            logger(slog_json::Json::default(LineWriter::new(std::io::stderr())), logging.queue_lines, level)
+        }
+        false => text(logging.queue_lines, level),
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -147,9 +147,9 @@
 fn serve_platform() -> Result<(), String> {
     let signals = signals()?;
     let config = Config::from_environment()?;
-    let level = if config.debug { slog::Level::Debug } else { slog::Level::Info };
+    let level = if config.debug_logging { slog::Level::Debug } else { slog::Level::Info };
     let plan = Plan::platform(config);
-    let log = logging::text(plan.limits.log_lines, level);
+    let log = logging::text(plan.limits.log_queue_lines, level);
     garnettally_serve::serve(plan, log, signals)
 }
 
