--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::draw::Stream;
 use crate::world::{FleetLink, World};
 use garnettally_model::{Findings, Hearsay, Micros, ServerId};
-use garnettally_peers::{Input, Output, Peers, Settings, State};
-use garnettally_verdicts::{merge, Claim, Exchange, Said, Subject, View};
+use garnettally_peers::{Input, MemberState, Output, Peers, Settings};
+use garnettally_verdicts::{merge_claims, Claim, FleetView, MemberClaim, Subject, VerdictExchange};
 use rustc_hash::FxHashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 struct Member {
     peers: Peers,
     set: Settings,
-    exchange: Exchange,
+    exchange: VerdictExchange,
     zone: usize,
     due: Micros,
     look_at: Micros,
@@ -90,7 +90,7 @@
             Member {
                 peers,
                 set,
-                exchange: Exchange::new(&tier.name, &classes),
+                exchange: VerdictExchange::new(&tier.name, &classes),
                 zone: i % zones.len(),
                 due: start,
                 look_at: start,
@@ -116,7 +116,7 @@
         let (peers, due) = join(&mut s, &self.members[at].set, now);
         let m = &mut self.members[at];
         (m.peers, m.due, m.look_at, m.merged, m.gone) = (peers, due, due, (0, now), false);
-        m.exchange = Exchange::new(&self.pool.0, &self.pool.1);
+        m.exchange = VerdictExchange::new(&self.pool.0, &self.pool.1);
         due
     }
 
@@ -159,8 +159,8 @@
             m.look_at = now + LOOK;
             let names = &self.nodes;
             let name = |id: ServerId| names[id.0 as usize].as_str();
-            m.exchange.meet(names.len(), &name);
-            for (key, value, age) in m.exchange.speak(now, &findings(), self.max_age, name) {
+            m.exchange.register_nodes(names.len(), &name);
+            for (key, value, age) in m.exchange.collect_claims(now, &findings(), self.max_age, name) {
                 m.peers.publish(now, &key, &value, age);
             }
             let version = m.peers.facts_version();
@@ -176,31 +176,31 @@
 
     fn hear(&mut self, now: Micros, at: usize, since: impl Fn(ServerId) -> Option<Micros>) -> Vec<Hearsay> {
         let m = &self.members[at];
-        let said: Vec<Said> = m
+        let said: Vec<MemberClaim> = m
             .peers
             .facts(now)
             .filter_map(|f| {
-                let (subject, claim) = (Subject::of_key(f.key)?, Claim::of_value(f.value)?);
-                Some(Said { member: f.origin, subject, claim, age: f.age })
+                let (subject, claim) = (Subject::from_key(f.key)?, Claim::from_value(f.value)?);
+                Some(MemberClaim { member: f.origin, subject, claim, age: f.age })
             })
             .collect();
         self.oldest = said.iter().map(|s| s.age).fold(self.oldest, Micros::max);
-        let me = m.peers.me();
+        let me = m.peers.own_identity();
         let members: FxHashMap<u64, (bool, bool)> = m
             .peers
-            .others()
-            .map(|(id, state)| (id.boot, (id.zone == me.zone, state != State::Down)))
+            .other_members()
+            .map(|(id, state)| (id.boot, (id.zone == me.zone, state != MemberState::Down)))
             .collect();
         let nodes = self.nodes.len();
-        let view = View {
-            me: me.boot,
+        let view = FleetView {
+            own_life: me.boot,
             same_zone: &|member| members.get(&member).map(|m| m.0),
-            lives: &|member| members.get(&member).is_some_and(|m| m.1),
-            alive: m.peers.alive() as usize,
-            nodes: &|_| nodes,
+            is_alive: &|member| members.get(&member).is_some_and(|m| m.1),
+            alive_members: m.peers.alive_count() as usize,
+            pool_size: &|_| nodes,
         };
-        let priors = merge(&said, &view);
-        self.members[at].exchange.hear(now, &priors, since)
+        let priors = merge_claims(&said, &view);
+        self.members[at].exchange.update_verdicts(now, &priors, since)
     }
 
     fn fetch(&mut self, at: usize) -> Step {
--- a/crates/link/src/lib_tests.rs
+++ b/crates/link/src/lib_tests.rs
@@ -6,10 +6,10 @@
     let here: SocketAddr = ([127, 0, 0, 1], 0).into();
     LinkSettings {
         member: Settings::new(name, "", here),
-        bind: here,
+        bind_address: here,
         key_file: None,
-        send_bytes: 1 << 20,
-        receive_datagrams: 10_000,
+        max_send_bytes_per_s: 1 << 20,
+        max_receive_datagrams_per_s: 10_000,
     }
 }
 
@@ -17,26 +17,26 @@
 #[test]
 fn a_flood_of_junk_is_dropped_unanswered_and_in_parts() {
     let mut set = settings("a");
-    set.receive_datagrams = 100;
+    set.max_receive_datagrams_per_s = 100;
     let mut link = Link::open(set).unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.set_nonblocking(true).unwrap();
     for i in 0..400usize {
-        stranger.send_to(&vec![0x67; i * 3], link.me().address).unwrap();
+        stranger.send_to(&vec![0x67; i * 3], link.own_identity().address).unwrap();
     }
     let mut calls = 0;
-    let total = |l: &Link| l.dropped().received + l.counts().dropped.iter().sum::<u64>();
+    let total = |l: &Link| l.dropped().over_receive_rate + l.counters().dropped.iter().sum::<u64>();
     let end = Instant::now() + Duration::from_secs(10);
     while total(&link) < 400 && Instant::now() < end {
         let before = total(&link);
-        link.readable();
+        link.on_readable();
         assert!(total(&link) - before <= READ_AT_ONCE as u64);
         calls += 1;
     }
-    assert!(total(&link) == 400 && calls >= 400 / READ_AT_ONCE, "{:?} {:?}", link.dropped(), link.counts());
-    assert!(link.dropped().received > 0, "past the rate nothing is looked at");
+    assert!(total(&link) == 400 && calls >= 400 / READ_AT_ONCE, "{:?} {:?}", link.dropped(), link.counters());
+    assert!(link.dropped().over_receive_rate > 0, "past the rate nothing is looked at");
     assert_eq!(stranger.recv_from(&mut [0; 64]).unwrap_err().kind(), ErrorKind::WouldBlock);
-    assert_eq!(link.counts().sent, 0);
+    assert_eq!(link.counters().sent, 0);
 }
 
 /// Guards against a key file without an end that holds up the start, or a SIGHUP, for good.
--- a/crates/peers/src/facts.rs
+++ b/crates/peers/src/facts.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 
 /// The longest key of a fact, in bytes.
-pub const KEY_MOST: usize = 96;
+pub const MAX_FACT_KEY_BYTES: usize = 96;
 /// The longest value, in bytes.
-pub const VALUE_MOST: usize = 64;
+pub const MAX_FACT_VALUE_BYTES: usize = 64;
 
 /// A fact, as it is known here and now.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -79,8 +79,8 @@
         // One count for all keys: a key that has ended here may live on elsewhere, and saying it anew under a version
         // that was used before would make the old value look young.
         self.version = self.version.saturating_add(1);
-        key.len() <= KEY_MOST
-            && value.len() <= VALUE_MOST
+        key.len() <= MAX_FACT_KEY_BYTES
+            && value.len() <= MAX_FACT_VALUE_BYTES
             && self.take(now, self.own, key, self.version, value, age)
     }
 
@@ -203,7 +203,7 @@
                 bytes = &bytes[1 + n..];
                 Some(text)
             };
-            let (key, value) = (text(KEY_MOST)?, text(VALUE_MOST)?);
+            let (key, value) = (text(MAX_FACT_KEY_BYTES)?, text(MAX_FACT_VALUE_BYTES)?);
             // What we said ourselves is known best here.
             if origin != self.own {
                 let age = Micros(i64::from(age) * 1000) + transit;
--- a/crates/peers/src/facts_tests.rs
+++ b/crates/peers/src/facts_tests.rs
@@ -58,7 +58,7 @@
     }
     let (mut cursor, mut pages) = (0, 0);
     loop {
-        let page = a.page(Micros(0), cursor, crate::seal::BODY_MOST - 17);
+        let page = a.page(Micros(0), cursor, crate::seal::MAX_BODY_BYTES - 17);
         b.take_page(Micros(0), Micros(0), &page.bytes);
         (cursor, pages) = (page.cursor, pages + 1);
         if !page.more {
--- a/crates/peers/src/identity.rs
+++ b/crates/peers/src/identity.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// The longest name of a member or of a zone, in bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// One life of one member. Members are told apart by their address; a process that starts anew there, or comes back
 /// after it was declared dead, is a new incarnation.
@@ -31,8 +31,8 @@
 
     /// Whether a peer may have sent this.
     pub(crate) fn is_sound(&self, loopback_only: bool) -> bool {
-        self.name.len() <= NAME_MOST
-            && self.zone.len() <= NAME_MOST
+        self.name.len() <= MAX_NAME_BYTES
+            && self.zone.len() <= MAX_NAME_BYTES
             && may_be_sent_to(self.address, loopback_only)
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -8,23 +8,23 @@
 
 mod facts;
 mod identity;
-mod letters;
+mod messages;
 mod seal;
 mod suspicion;
 mod swim;
 
-pub use facts::{Fact, KEY_MOST, VALUE_MOST};
-pub use identity::{Identity, NAME_MOST};
-pub use letters::LETTER_MOST;
-pub use seal::{KeyError, Keys, Rejected, DATAGRAM_MOST, VERSION};
+pub use facts::{Fact, MAX_FACT_KEY_BYTES, MAX_FACT_VALUE_BYTES};
+pub use identity::{Identity, MAX_NAME_BYTES};
+pub use messages::MAX_MESSAGE_BYTES;
+pub use seal::{KeyFileError, Keys, RejectReason, FORMAT_VERSION, MAX_DATAGRAM_BYTES};
 
 use facts::Facts;
 use garnettally_model::Micros;
-use letters::Letters;
+use messages::MessageFragments;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use seal::{number, Kind, Sealer, BODY_MOST};
+use seal::{number, Kind, Sealer, MAX_BODY_BYTES};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     /// A random member is probed this often.
     pub probe_period: Duration,
     /// A member that did not answer is declared dead after this, unless it objects.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// A dead member is forgotten after this.
     pub forget_after: Duration,
     /// Some peers are asked for what is new this often.
@@ -56,9 +56,9 @@
     /// Facts end when they are so old: the bound on how stale anything is.
     pub max_age: Duration,
     /// Facts that are held.
-    pub facts_most: usize,
+    pub max_facts: usize,
     /// Members that are known, dead ones included.
-    pub members_most: usize,
+    pub max_members: usize,
     /// The fleet is taken to be no smaller than this,
     pub size_floor: u32,
     /// nor smaller than it was within this.
@@ -74,14 +74,14 @@
             address,
             seeds: Vec::new(),
             probe_period: Duration::from_secs(1),
-            suspicion: Duration::from_secs(3),
+            suspicion_timeout: Duration::from_secs(3),
             forget_after: Duration::from_secs(600),
             ask_every: Duration::from_millis(200),
             ask_peers: 3,
             ask_timeout: Duration::from_secs(1),
             max_age: Duration::from_secs(20),
-            facts_most: 8192,
-            members_most: 4096,
+            max_facts: 8192,
+            max_members: 4096,
             size_floor: 1,
             size_hold: Duration::from_secs(60),
         }
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member is there.
-    Up(Identity),
+    MemberUp(Identity),
     /// A member is taken to be dead, or has left.
-    Down(Identity),
+    MemberDown(Identity),
     /// At the address of the first, the second is now.
-    Renewed(Identity, Identity),
+    MemberRenewed(Identity, Identity),
     /// This member was declared dead and has joined anew, as this.
-    WasAway(Identity),
+    Rejoined(Identity),
     /// Two live members have this name.
-    SameName(Identity, Identity),
+    DuplicateName(Identity, Identity),
 }
 
 /// What the caller is to do.
@@ -111,7 +111,7 @@
     /// Take note.
     Event(Event),
     /// A letter has come from this life.
-    Letter(u64, Vec<u8>),
+    Message(u64, Vec<u8>),
 }
 
 /// What the caller hands in.
@@ -127,7 +127,7 @@
 
 /// How a member looks from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer, and may still object.
@@ -138,19 +138,19 @@
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams taken.
-    pub taken: u64,
-    /// Datagrams dropped, by [`Rejected::index`].
-    pub dropped: [u64; Rejected::ALL.len()],
+    pub accepted: u64,
+    /// Datagrams dropped, by [`RejectReason::index`].
+    pub dropped: [u64; RejectReason::ALL.len()],
     /// Datagrams sent.
     pub sent: u64,
     /// And their bytes.
     pub sent_bytes: u64,
     /// Facts that there was no room for.
-    pub facts_over: u64,
+    pub facts_rejected: u64,
     /// How often this process was declared dead and came back.
-    pub away: u32,
+    pub rejoins: u32,
     /// How often it noticed that it had stood still.
     pub stalls: u32,
 }
@@ -169,7 +169,7 @@
     sealer: Sealer,
     swim: Swim,
     facts: Facts,
-    letters: Letters,
+    letters: MessageFragments,
     /// Questions that are open, by number.
     asked: FxHashMap<u64, Asked>,
     next_question: u64,
@@ -189,7 +189,7 @@
     unheard: FxHashMap<SocketAddr, (Kind, Vec<u8>)>,
     reported: Vec<(SocketAddr, SocketAddr)>,
     outputs: VecDeque<Output>,
-    counts: Counts,
+    counters: Counters,
 }
 
 /// Peers may be told of news so many times between two rounds of questions.
@@ -214,13 +214,13 @@
             generation: 0,
         };
         let loopback_only = keys.is_none();
-        let keys = keys.unwrap_or_else(Keys::known_to_all);
+        let keys = keys.unwrap_or_else(Keys::well_known);
         let swim_rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
         Peers {
-            sealer: Sealer::new(keys, boot, set.address, secret, set.members_most),
+            sealer: Sealer::new(keys, boot, set.address, secret, set.max_members),
             swim: Swim::new(me, &set, loopback_only, swim_rng, now),
-            facts: Facts::new(boot, micros(set.max_age), set.facts_most),
-            letters: Letters::default(),
+            facts: Facts::new(boot, micros(set.max_age), set.max_facts),
+            letters: MessageFragments::default(),
             asked: FxHashMap::default(),
             next_question: rng.next_u64(),
             cursors: FxHashMap::default(),
@@ -234,7 +234,7 @@
             unheard: FxHashMap::default(),
             reported: Vec::new(),
             outputs: VecDeque::new(),
-            counts: Counts::default(),
+            counters: Counters::default(),
             loopback_only,
             set,
             rng,
@@ -242,7 +242,7 @@
     }
 
     /// Takes what has come. `Err`: the datagram is dropped and counted.
-    pub fn handle(&mut self, now: Micros, input: Input<'_>) -> Result<(), Rejected> {
+    pub fn handle(&mut self, now: Micros, input: Input<'_>) -> Result<(), RejectReason> {
         let result = match input {
             Input::Datagram(data) => self.datagram(now, data),
             Input::Wake => {
@@ -255,8 +255,8 @@
             }
         };
         match result {
-            Err(why) => self.counts.dropped[why.index()] += 1,
-            Ok(()) => self.counts.taken += u64::from(matches!(input, Input::Datagram(_))),
+            Err(why) => self.counters.dropped[why.index()] += 1,
+            Ok(()) => self.counters.accepted += u64::from(matches!(input, Input::Datagram(_))),
         }
         self.settle(now);
         result
@@ -283,16 +283,16 @@
         if taken && now >= self.hint_at {
             self.hint(now);
         }
-        self.counts.facts_over += u64::from(!taken);
+        self.counters.facts_rejected += u64::from(!taken);
         taken
     }
 
     /// Sends a letter to a member that is known, by its life: it comes whole, or not at all. `false`: there is no such member, or
-    /// it is longer than [`LETTER_MOST`].
-    pub fn send_letter(&mut self, life: u64, letter: &[u8]) -> bool {
+    /// it is longer than [`MAX_MESSAGE_BYTES`].
+    pub fn send_message(&mut self, life: u64, letter: &[u8]) -> bool {
         let Some(address) = self.address_of(life) else { return false };
-        let Some(parts) = self.letters.cut(letter, BODY_MOST) else { return false };
-        parts.iter().for_each(|body| self.send(address, Kind::Letter, body));
+        let Some(parts) = self.letters.cut(letter, MAX_BODY_BYTES) else { return false };
+        parts.iter().for_each(|body| self.send(address, Kind::MessagePart, body));
         true
     }
 
@@ -307,56 +307,56 @@
     }
 
     /// How many facts are held.
-    pub fn facts_held(&self) -> usize {
+    pub fn fact_count(&self) -> usize {
         self.facts.len()
     }
 
     /// This member.
-    pub fn me(&self) -> &Identity {
-        self.swim.me()
+    pub fn own_identity(&self) -> &Identity {
+        self.swim.own_identity()
     }
 
     /// The others, dead ones included for a time.
-    pub fn others(&self) -> impl Iterator<Item = (&Identity, State)> {
-        self.swim.others().map(|(id, state)| {
+    pub fn other_members(&self) -> impl Iterator<Item = (&Identity, MemberState)> {
+        self.swim.other_members().map(|(id, state)| {
             let state = match state {
-                foca::State::Alive => State::Alive,
-                foca::State::Suspect => State::Suspect,
-                foca::State::Down => State::Down,
+                foca::State::Alive => MemberState::Alive,
+                foca::State::Suspect => MemberState::Suspect,
+                foca::State::Down => MemberState::Down,
             };
             (id, state)
         })
     }
 
     /// Members taken to be alive, this one included.
-    pub fn alive(&self) -> u32 {
-        self.swim.alive() as u32 + 1
+    pub fn alive_count(&self) -> u32 {
+        self.swim.alive_count() as u32 + 1
     }
 
     /// How large the fleet is taken to be: at the least the floor, and the most that was alive within the hold. Of two
     /// sides of a cut, neither may believe that it is the whole fleet before its operator would know.
-    pub fn size(&self, now: Micros) -> u32 {
+    pub fn fleet_size(&self, now: Micros) -> u32 {
         let from = now - micros(self.set.size_hold);
         let held = self.sizes.iter().filter(|(at, _)| *at >= from).map(|(_, n)| *n).max().unwrap_or(0);
-        held.max(self.alive()).max(self.set.size_floor)
+        held.max(self.alive_count()).max(self.set.size_floor)
     }
 
     /// Counts since the start.
-    pub fn counts(&self) -> Counts {
-        Counts { away: self.swim.away(), stalls: self.swim.stalls, ..self.counts.clone() }
+    pub fn counters(&self) -> Counters {
+        Counters { rejoins: self.swim.rejoins(), stalls: self.swim.stalls, ..self.counters.clone() }
     }
 
     /// Other keys from now on.
-    pub fn rekey(&mut self, keys: Keys) {
-        self.sealer.rekey(keys);
+    pub fn replace_keys(&mut self, keys: Keys) {
+        self.sealer.replace_keys(keys);
     }
 
-    fn datagram(&mut self, now: Micros, data: &[u8]) -> Result<(), Rejected> {
+    fn datagram(&mut self, now: Micros, data: &[u8]) -> Result<(), RejectReason> {
         let opened = self.sealer.open(data)?;
         let (kind, boot, address, body, fresh) =
             (opened.kind, opened.boot, opened.address, opened.body, opened.fresh);
         if !identity::may_be_sent_to(address, self.loopback_only) {
-            return Err(Rejected::Origin);
+            return Err(RejectReason::Origin);
         }
         if kind == Kind::Challenge {
             return self.challenged(now, address, body);
@@ -365,21 +365,21 @@
             if seal::may_be_challenged(data) {
                 self.challenge(boot, address);
             }
-            return Err(Rejected::Token);
+            return Err(RejectReason::Token);
         }
         match kind {
             Kind::Swim if self.swim.take(now, body) => Ok(()),
-            Kind::Swim | Kind::Challenge => Err(Rejected::Malformed),
+            Kind::Swim | Kind::Challenge => Err(RejectReason::Malformed),
             Kind::Pull => self.answer(now, address, body),
             Kind::Facts => self.learn(now, boot, body),
-            Kind::Letter => match self.letters.take(now, boot, body) {
+            Kind::MessagePart => match self.letters.take(now, boot, body) {
                 Ok(Some(letter)) => {
-                    self.outputs.push_back(Output::Letter(boot, letter));
+                    self.outputs.push_back(Output::Message(boot, letter));
                     Ok(())
                 }
                 Ok(None) => Ok(()),
-                Err(true) => Err(Rejected::Malformed),
-                Err(false) => Err(Rejected::Bound),
+                Err(true) => Err(RejectReason::Malformed),
+                Err(false) => Err(RejectReason::Bound),
             },
             Kind::News => {
                 // One question at a time: a peer that says so all the time gets no more answers by it.
@@ -394,7 +394,7 @@
     /// Tells a sender its token, and what is known of lives before it at its address.
     fn challenge(&mut self, boot: u64, address: SocketAddr) {
         let token = self.sealer.token_for(boot, address);
-        let before = self.swim.others().find(|(id, _)| id.address == address && id.boot != boot);
+        let before = self.swim.other_members().find(|(id, _)| id.address == address && id.boot != boot);
         let generation = before.map_or(u64::MAX, |(id, _)| id.generation);
         let mut body = token.to_be_bytes().to_vec();
         body.extend(generation.to_be_bytes());
@@ -402,12 +402,12 @@
     }
 
     /// A peer tells its token. What it was sent without goes again.
-    fn challenged(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), Rejected> {
+    fn challenged(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), RejectReason> {
         if body.len() != 16 {
-            return Err(Rejected::Malformed);
+            return Err(RejectReason::Malformed);
         }
         // Only who was just sent something may say so, and once: a recorded challenge spoils at most one datagram.
-        let (kind, last) = self.unheard.remove(&address).ok_or(Rejected::Unasked)?;
+        let (kind, last) = self.unheard.remove(&address).ok_or(RejectReason::Unasked)?;
         self.sealer.learn_token(address, number(body, 0));
         let generation = number(body, 8);
         if generation != u64::MAX {
@@ -423,13 +423,13 @@
     }
 
     /// Answers a question for what is new.
-    fn answer(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), Rejected> {
+    fn answer(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), RejectReason> {
         if body.len() != 24 {
-            return Err(Rejected::Malformed);
+            return Err(RejectReason::Malformed);
         }
         // The cursor is one of ours, of this life, or it starts anew.
-        let since = if number(body, 8) == self.me().boot { number(body, 16) } else { 0 };
-        let page = self.facts.page(now, since, BODY_MOST - 17);
+        let since = if number(body, 8) == self.own_identity().boot { number(body, 16) } else { 0 };
+        let page = self.facts.page(now, since, MAX_BODY_BYTES - 17);
         let mut answer = body[..8].to_vec();
         answer.extend(page.cursor.to_be_bytes());
         answer.push(u8::from(page.more));
@@ -438,17 +438,17 @@
         Ok(())
     }
 
-    fn learn(&mut self, now: Micros, boot: u64, body: &[u8]) -> Result<(), Rejected> {
+    fn learn(&mut self, now: Micros, boot: u64, body: &[u8]) -> Result<(), RejectReason> {
         if body.len() < 17 {
-            return Err(Rejected::Malformed);
+            return Err(RejectReason::Malformed);
         }
         let question = number(body, 0);
-        let asked = self.asked.remove(&question).ok_or(Rejected::Unasked)?;
+        let asked = self.asked.remove(&question).ok_or(RejectReason::Unasked)?;
         if asked.to != boot || now - asked.at > micros(self.set.ask_timeout) {
-            return Err(Rejected::Unasked);
+            return Err(RejectReason::Unasked);
         }
-        let over = self.facts.take_page(now, asked.at, &body[17..]).ok_or(Rejected::Malformed)?;
-        self.counts.facts_over += over as u64;
+        let over = self.facts.take_page(now, asked.at, &body[17..]).ok_or(RejectReason::Malformed)?;
+        self.counters.facts_rejected += over as u64;
         self.cursors.insert(boot, number(body, 8));
         if body[16] != 0 {
             if let Some(address) = self.address_of(boot) {
@@ -459,7 +459,7 @@
     }
 
     fn address_of(&self, boot: u64) -> Option<SocketAddr> {
-        self.swim.others().find(|(id, _)| id.boot == boot).map(|(id, _)| id.address)
+        self.swim.other_members().find(|(id, _)| id.boot == boot).map(|(id, _)| id.address)
     }
 
     /// Asks a member for what is new.
@@ -480,14 +480,14 @@
             return;
         }
         if kind != Kind::Challenge {
-            if self.unheard.len() >= self.set.members_most && !self.unheard.contains_key(&to) {
+            if self.unheard.len() >= self.set.max_members && !self.unheard.contains_key(&to) {
                 self.unheard.clear();
             }
             self.unheard.insert(to, (kind, body.to_vec()));
         }
         let datagram = self.sealer.seal(to, kind, body);
-        self.counts.sent += 1;
-        self.counts.sent_bytes += datagram.len() as u64;
+        self.counters.sent += 1;
+        self.counters.sent_bytes += datagram.len() as u64;
         self.outputs.push_back(Output::Send(to, datagram));
     }
 
@@ -497,10 +497,13 @@
             // With jitter: a fleet that starts at once must not ask its seeds in one moment again and again.
             let period = micros(self.set.probe_period * 2);
             self.seed_at = now + Micros(self.rng.random_range(period.0 / 2..=period.0.max(1)));
-            let members: Vec<SocketAddr> =
-                self.others().filter(|(_, s)| *s != State::Down).map(|(id, _)| id.address).collect();
+            let members: Vec<SocketAddr> = self
+                .other_members()
+                .filter(|(_, s)| *s != MemberState::Down)
+                .map(|(id, _)| id.address)
+                .collect();
             for seed in self.set.seeds.clone() {
-                if seed != self.me().address && !members.contains(&seed) {
+                if seed != self.own_identity().address && !members.contains(&seed) {
                     self.swim.announce(now, seed);
                 }
             }
@@ -525,7 +528,7 @@
                 self.sealer.forget(address);
                 self.unheard.remove(&address);
             }
-            let lives: Vec<u64> = self.swim.others().map(|(id, _)| id.boot).collect();
+            let lives: Vec<u64> = self.swim.other_members().map(|(id, _)| id.boot).collect();
             self.cursors.retain(|boot, _| lives.contains(boot));
         }
     }
@@ -535,8 +538,12 @@
         self.hinted = self.facts.version();
         // Many facts at once are one hint.
         self.hint_at = now + Micros(micros(self.set.ask_every).0 / HINTS);
-        let mut live: Vec<SocketAddr> =
-            self.swim.others().filter(|(_, s)| *s == foca::State::Alive).map(|(id, _)| id.address).collect();
+        let mut live: Vec<SocketAddr> = self
+            .swim
+            .other_members()
+            .filter(|(_, s)| *s == foca::State::Alive)
+            .map(|(id, _)| id.address)
+            .collect();
         for _ in 0..=self.set.ask_peers {
             if !live.is_empty() {
                 let to = live.swap_remove(self.rng.random_range(0..live.len()));
@@ -549,7 +556,7 @@
     fn asked_next(&mut self) -> Vec<(u64, SocketAddr)> {
         let live: Vec<(u64, SocketAddr)> = self
             .swim
-            .others()
+            .other_members()
             .filter(|(_, s)| *s != foca::State::Down)
             .map(|(id, _)| (id.boot, id.address))
             .collect();
@@ -574,12 +581,12 @@
         if !self.swim.take_changed() {
             return;
         }
-        let me = self.me().boot;
+        let me = self.own_identity().boot;
         let mut live: Vec<(u64, u64, SocketAddr)> = self
             .swim
-            .others()
+            .other_members()
             .filter(|(_, s)| *s != foca::State::Down)
-            .map(|(id, _)| (rendezvous(me, id.boot), id.boot, id.address))
+            .map(|(id, _)| (rendezvous_hash(me, id.boot), id.boot, id.address))
             .collect();
         live.sort_unstable();
         live.truncate(self.set.ask_peers);
@@ -589,7 +596,7 @@
     }
 
     fn note_size(&mut self, now: Micros) {
-        let n = self.alive();
+        let n = self.alive_count();
         let from = now - micros(self.set.size_hold);
         // A size was in force until this moment, however long ago it was noted: it is held from now on.
         if let Some(last) = self.sizes.back_mut() {
@@ -606,8 +613,8 @@
 
     fn report_same_names(&mut self) {
         let mut live: Vec<&Identity> =
-            self.swim.others().filter(|(_, s)| *s != foca::State::Down).map(|(id, _)| id).collect();
-        live.push(self.swim.me());
+            self.swim.other_members().filter(|(_, s)| *s != foca::State::Down).map(|(id, _)| id).collect();
+        live.push(self.swim.own_identity());
         live.sort_by(|a, b| a.name.cmp(&b.name).then(a.address.cmp(&b.address)));
         let pairs: Vec<(Identity, Identity)> = live
             .windows(2)
@@ -617,7 +624,7 @@
         let now: Vec<(SocketAddr, SocketAddr)> = pairs.iter().map(|(a, b)| (a.address, b.address)).collect();
         for (a, b) in pairs {
             if !self.reported.contains(&(a.address, b.address)) {
-                self.outputs.push_back(Output::Event(Event::SameName(a, b)));
+                self.outputs.push_back(Output::Event(Event::DuplicateName(a, b)));
             }
         }
         self.reported = now;
@@ -625,7 +632,7 @@
 }
 
 /// A number that any member computes alike for a pair: the order in which the second serves the first.
-pub fn rendezvous(one: u64, other: u64) -> u64 {
+pub fn rendezvous_hash(one: u64, other: u64) -> u64 {
     let mut h = blake3::Hasher::new();
     h.update(&one.to_be_bytes());
     h.update(&other.to_be_bytes());
--- a/crates/peers/src/letters.rs
+++ b/crates/peers/src/messages.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 /// The longest letter, in bytes.
-pub const LETTER_MOST: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// A letter's number, this part's, and how many there are.
 const HEAD: usize = 12;
 /// Letters that may be incomplete at a time, of one sender and of all.
@@ -25,17 +25,17 @@
 
 /// Letters on their way in, and the numbers of those out.
 #[derive(Default)]
-pub(crate) struct Letters {
+pub(crate) struct MessageFragments {
     written: u32,
     open: FxHashMap<(u64, u32), Open>,
     bytes: usize,
 }
 
-impl Letters {
+impl MessageFragments {
     /// The bodies of the datagrams that carry a letter, of so many bytes each. `None`: it is too long.
     pub fn cut(&mut self, letter: &[u8], room: usize) -> Option<Vec<Vec<u8>>> {
         let room = room.checked_sub(HEAD).filter(|r| *r > 0)?;
-        if letter.len() > LETTER_MOST {
+        if letter.len() > MAX_MESSAGE_BYTES {
             return None;
         }
         self.written = self.written.wrapping_add(1);
@@ -57,7 +57,7 @@
         let (Some(letter), Some(n), Some(all)) = (word(0), word(4), word(8)) else { return Err(true) };
         let (part, n, all) = (&body[HEAD..], n as usize, all as usize);
         // A letter of more parts than bytes can't be.
-        if n >= all || all > LETTER_MOST / 256 {
+        if n >= all || all > MAX_MESSAGE_BYTES / 256 {
             return Err(true);
         }
         if all == 1 {
@@ -101,7 +101,7 @@
         }
         let whole: Vec<u8> = open.parts.drain(..).flatten().flatten().collect();
         self.drop_one(key);
-        if whole.len() > LETTER_MOST {
+        if whole.len() > MAX_MESSAGE_BYTES {
             return Err(true);
         }
         Ok(Some(whole))
@@ -122,5 +122,5 @@
 }
 
 #[cfg(test)]
-#[path = "letters_tests.rs"]
+#[path = "messages_tests.rs"]
 mod tests;
--- a/crates/peers/src/letters_tests.rs
+++ b/crates/peers/src/messages_tests.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_letter_comes_over_in_any_order_and_not_without_all_its_parts() {
-    let (mut a, mut b) = (Letters::default(), Letters::default());
+    let (mut a, mut b) = (MessageFragments::default(), MessageFragments::default());
     let letter: Vec<u8> = (0..200_000u32).map(|i| i as u8).collect();
     let mut parts = a.cut(&letter, ROOM).unwrap();
     assert!(parts.iter().all(|p| p.len() <= ROOM));
@@ -18,7 +18,7 @@
     }
     assert_eq!(b.take(Micros(0), 7, &last), Ok(Some(letter.clone())));
     assert!(b.open.is_empty() && b.bytes == 0);
-    assert_eq!(a.cut(&vec![0; LETTER_MOST + 1], ROOM), None);
+    assert_eq!(a.cut(&vec![0; MAX_MESSAGE_BYTES + 1], ROOM), None);
     // Parts of another sender, or of another letter, are not mixed in.
     let other = a.cut(&letter, ROOM).unwrap();
     assert_eq!(b.take(Micros(0), 7, &other[0]), Ok(None));
@@ -28,9 +28,9 @@
 /// Guards against senders that begin letters and never end them.
 #[test]
 fn what_is_never_whole_is_bounded_and_given_up() {
-    let mut b = Letters::default();
+    let mut b = MessageFragments::default();
     for from in 0..200u64 {
-        let mut a = Letters::default();
+        let mut a = MessageFragments::default();
         for _ in 0..20 {
             let parts = a.cut(&vec![1; 900_000], ROOM).unwrap();
             parts[1..].iter().for_each(|p| {
@@ -46,7 +46,7 @@
 proptest! {
     #[test]
     fn any_bytes_are_survived(bodies in proptest::collection::vec((0u64..3, proptest::collection::vec(0u8..4, 0..40)), 0..60)) {
-        let mut b = Letters::default();
+        let mut b = MessageFragments::default();
         for (from, body) in &bodies {
             let _ = b.take(Micros(0), *from, body);
         }
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -10,14 +10,14 @@
 use thiserror::Error;
 
 /// The largest datagram, in bytes: fits into one packet on any path in use.
-pub const DATAGRAM_MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The version of this format.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 const MAGIC: u8 = 0x67;
 const HEAD: usize = 4 + 8 + 8 + 8 + 18;
 const MAC: usize = 16;
 /// What a body may hold at most, in bytes.
-pub const BODY_MOST: usize = DATAGRAM_MOST - HEAD - MAC;
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD - MAC;
 /// A challenge's size: nothing shorter is answered by one, so no answer is larger than what came.
 const CHALLENGE: usize = HEAD + 16 + MAC;
 /// Datagrams of one sender that may overtake each other.
@@ -37,12 +37,12 @@
     /// "I have news": whoever hears it asks.
     News,
     /// A part of a letter.
-    Letter,
+    MessagePart,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Rejected {
+pub enum RejectReason {
     /// It is cut off, too long, or not one of ours.
     #[error("malformed")]
     Malformed,
@@ -72,18 +72,18 @@
     Bound,
 }
 
-impl Rejected {
-    /// All kinds, in the order of [`Rejected::index`].
-    pub const ALL: [Rejected; 9] = [
-        Rejected::Malformed,
-        Rejected::Version,
-        Rejected::Key,
-        Rejected::Forged,
-        Rejected::Replayed,
-        Rejected::Token,
-        Rejected::Origin,
-        Rejected::Unasked,
-        Rejected::Bound,
+impl RejectReason {
+    /// All kinds, in the order of [`RejectReason::index`].
+    pub const ALL: [RejectReason; 9] = [
+        RejectReason::Malformed,
+        RejectReason::Version,
+        RejectReason::Key,
+        RejectReason::Forged,
+        RejectReason::Replayed,
+        RejectReason::Token,
+        RejectReason::Origin,
+        RejectReason::Unasked,
+        RejectReason::Bound,
     ];
 
     /// Its place among all kinds.
@@ -98,48 +98,48 @@
 
 /// What is wrong with a key file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum KeyError {
+pub enum KeyFileError {
     /// This line.
     #[error("line {0} is not a number from 0 to 255 and 64 hex digits")]
-    Line(usize),
+    InvalidLine(usize),
     /// This number stands for two keys.
     #[error("two keys have the number {0}")]
-    Twice(u8),
+    DuplicateNumber(u8),
     /// There is none.
     #[error("holds no key")]
-    Empty,
+    NoKeys,
     /// There are too many.
     #[error("holds more than 8 keys")]
-    Many,
+    TooManyKeys,
 }
 
 impl Keys {
     /// Reads lines of a number and 64 hex digits; `#` starts a comment. The first seals.
-    pub fn parse(text: &str) -> Result<Keys, KeyError> {
+    pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys: Vec<(u8, [u8; 32])> = Vec::new();
         for (at, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or("").trim();
             if line.is_empty() {
                 continue;
             }
-            let wrong = KeyError::Line(at + 1);
+            let wrong = KeyFileError::InvalidLine(at + 1);
             let (id, hex) = line.split_once(char::is_whitespace).ok_or(wrong.clone())?;
             let id: u8 = id.parse().map_err(|_| wrong.clone())?;
             let key = blake3::Hash::from_hex(hex.trim()).map_err(|_| wrong.clone())?;
             if keys.iter().any(|k| k.0 == id) {
-                return Err(KeyError::Twice(id));
+                return Err(KeyFileError::DuplicateNumber(id));
             }
             keys.push((id, *key.as_bytes()));
         }
         match keys.len() {
-            0 => Err(KeyError::Empty),
+            0 => Err(KeyFileError::NoKeys),
             1..=8 => Ok(Keys(keys)),
-            _ => Err(KeyError::Many),
+            _ => Err(KeyFileError::TooManyKeys),
         }
     }
 
     /// A key that everybody knows: it finds damage, and proves nothing. For loopback alone.
-    pub fn known_to_all() -> Keys {
+    pub fn well_known() -> Keys {
         Keys(vec![(0, blake3::derive_key("garnettally fleet link, loopback without a key", b""))])
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Other keys from now on; counters and tokens go on.
-    pub fn rekey(&mut self, keys: Keys) {
+    pub fn replace_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
@@ -223,7 +223,7 @@
         self.counter += 1;
         let (id, key) = &self.keys.0[0];
         let mut out = Vec::with_capacity(HEAD + body.len() + MAC);
-        out.extend([MAGIC, VERSION, kind as u8, *id]);
+        out.extend([MAGIC, FORMAT_VERSION, kind as u8, *id]);
         out.extend(self.boot.to_be_bytes());
         out.extend(self.counter.to_be_bytes());
         out.extend(self.tokens.get(&to).copied().unwrap_or(0).to_be_bytes());
@@ -236,20 +236,20 @@
 
     /// Checks a datagram. One that is sound but has no good token is `Ok` with `fresh` false: answer it with a
     /// challenge if [`may_be_challenged`], and with nothing else.
-    pub fn open<'a>(&mut self, data: &'a [u8]) -> Result<Opened<'a>, Rejected> {
-        if data.len() > DATAGRAM_MOST || data.len() < HEAD + MAC || data[0] != MAGIC {
-            return Err(Rejected::Malformed);
+    pub fn open<'a>(&mut self, data: &'a [u8]) -> Result<Opened<'a>, RejectReason> {
+        if data.len() > MAX_DATAGRAM_BYTES || data.len() < HEAD + MAC || data[0] != MAGIC {
+            return Err(RejectReason::Malformed);
         }
-        if data[1] != VERSION {
-            return Err(Rejected::Version);
+        if data[1] != FORMAT_VERSION {
+            return Err(RejectReason::Version);
         }
-        let key = self.keys.find(data[3]).ok_or(Rejected::Key)?;
+        let key = self.keys.find(data[3]).ok_or(RejectReason::Key)?;
         let (signed, mac) = data.split_at(data.len() - MAC);
         // Both sides as hashes, which compare in constant time.
         let ours = blake3::keyed_hash(key, signed);
         if blake3::Hash::from_bytes(padded(mac)) != blake3::Hash::from_bytes(padded(&ours.as_bytes()[..MAC]))
         {
-            return Err(Rejected::Forged);
+            return Err(RejectReason::Forged);
         }
         let kind = match data[2] {
             0 => Kind::Challenge,
@@ -257,13 +257,13 @@
             2 => Kind::Pull,
             3 => Kind::Facts,
             4 => Kind::News,
-            5 => Kind::Letter,
-            _ => return Err(Rejected::Malformed),
+            5 => Kind::MessagePart,
+            _ => return Err(RejectReason::Malformed),
         };
         let (boot, counter, token) = (number(data, 4), number(data, 12), number(data, 20));
-        let address = read_address(&data[28..HEAD]).ok_or(Rejected::Malformed)?;
+        let address = read_address(&data[28..HEAD]).ok_or(RejectReason::Malformed)?;
         if boot == self.boot {
-            return Err(Rejected::Origin);
+            return Err(RejectReason::Origin);
         }
         let fresh = token == self.token_for(boot, address);
         if fresh {
@@ -273,7 +273,7 @@
     }
 
     /// Lets each counter of a sender pass once.
-    fn once(&mut self, boot: u64, counter: u64) -> Result<(), Rejected> {
+    fn once(&mut self, boot: u64, counter: u64) -> Result<(), RejectReason> {
         self.opened += 1;
         if self.seen.len() >= self.most && !self.seen.contains_key(&boot) {
             // A life that is forgotten could be played to us again: only the one silent for longest is, and to get
@@ -291,7 +291,7 @@
         }
         let back = s.highest - counter;
         if back >= WINDOW || s.bits & (1 << back) != 0 {
-            return Err(Rejected::Replayed);
+            return Err(RejectReason::Replayed);
         }
         s.bits |= 1 << back;
         Ok(())
--- a/crates/peers/src/seal_tests.rs
+++ b/crates/peers/src/seal_tests.rs
@@ -34,7 +34,7 @@
             assert!(b.open(&bad).is_err(), "bit {bit} of {n}");
         }
     }
-    assert_eq!(b.open(&vec![MAGIC; DATAGRAM_MOST + 1]).unwrap_err(), Rejected::Malformed);
+    assert_eq!(b.open(&vec![MAGIC; MAX_DATAGRAM_BYTES + 1]).unwrap_err(), RejectReason::Malformed);
     let opened = b.open(&whole).unwrap();
     assert!(opened.fresh && opened.kind == Kind::Swim && opened.body == b"body" && opened.address == at(1));
 }
@@ -44,10 +44,10 @@
 fn another_version_is_told_apart_from_junk() {
     let (mut a, mut b) = pair();
     let mut newer = a.seal(at(2), Kind::Swim, b"body");
-    newer[1] = VERSION + 1;
-    assert_eq!(b.open(&newer).unwrap_err(), Rejected::Version);
+    newer[1] = FORMAT_VERSION + 1;
+    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Version);
     newer[0] = 0;
-    assert_eq!(b.open(&newer).unwrap_err(), Rejected::Malformed);
+    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Malformed);
 }
 
 #[test]
@@ -58,7 +58,7 @@
         assert!(b.open(&sent[i]).is_ok(), "{i}");
     }
     for i in [5, 3, 4, 69, 68, 10, 0] {
-        assert_eq!(b.open(&sent[i]).unwrap_err(), Rejected::Replayed, "{i}");
+        assert_eq!(b.open(&sent[i]).unwrap_err(), RejectReason::Replayed, "{i}");
     }
 }
 
@@ -79,21 +79,21 @@
     let (mut a, mut b) = pair();
     let (both, other) = (format!("{ONE}\n{TWO}"), format!("{TWO} # new\n{ONE}"));
     for (ka, kb) in [(ONE, both.as_str()), (&both, &both), (&other, &both), (&other, &other), (TWO, &other)] {
-        a.rekey(Keys::parse(ka).unwrap());
-        b.rekey(Keys::parse(kb).unwrap());
+        a.replace_keys(Keys::parse(ka).unwrap());
+        b.replace_keys(Keys::parse(kb).unwrap());
         let (there, back) = (a.seal(at(2), Kind::Swim, b"x"), b.seal(at(1), Kind::Swim, b"x"));
         assert!(b.open(&there).unwrap().fresh && a.open(&back).unwrap().fresh, "{ka:?} {kb:?}");
     }
-    b.rekey(Keys::parse(ONE).unwrap());
-    assert_eq!(b.open(&a.seal(at(2), Kind::Swim, b"x")).unwrap_err(), Rejected::Key);
+    b.replace_keys(Keys::parse(ONE).unwrap());
+    assert_eq!(b.open(&a.seal(at(2), Kind::Swim, b"x")).unwrap_err(), RejectReason::Key);
 }
 
 #[test]
 fn a_wrong_key_file_is_told_by_line() {
-    assert_eq!(Keys::parse("").err(), Some(KeyError::Empty));
-    assert_eq!(Keys::parse("# none\n1 zz").err(), Some(KeyError::Line(2)));
-    assert_eq!(Keys::parse("256 11").err(), Some(KeyError::Line(1)));
-    assert_eq!(Keys::parse(&format!("{ONE}\n{ONE}")).err(), Some(KeyError::Twice(1)));
+    assert_eq!(Keys::parse("").err(), Some(KeyFileError::NoKeys));
+    assert_eq!(Keys::parse("# none\n1 zz").err(), Some(KeyFileError::InvalidLine(2)));
+    assert_eq!(Keys::parse("256 11").err(), Some(KeyFileError::InvalidLine(1)));
+    assert_eq!(Keys::parse(&format!("{ONE}\n{ONE}")).err(), Some(KeyFileError::DuplicateNumber(1)));
 }
 
 /// What is kept for senders does not grow with their number.
--- a/crates/peers/src/swim.rs
+++ b/crates/peers/src/swim.rs
@@ -1,9 +1,9 @@
 //! Membership by `foca`: SWIM with suspicion and indirect probes, driven by the caller's clock.
 
 use crate::identity::Identity;
-use crate::seal::BODY_MOST;
+use crate::seal::MAX_BODY_BYTES;
 use crate::suspicion::{Step, Suspect, Suspicions, LEFT};
-use crate::{rendezvous, Event, Settings};
+use crate::{rendezvous_hash, Event, Settings};
 use bytes::BufMut;
 use foca::{
     Codec, Config, Foca, Header, Incarnation, Member, Message, NoCustomBroadcast, Notification,
@@ -133,7 +133,7 @@
     events: Vec<Event>,
     /// Life changed: its members are to be looked at anew.
     changed: bool,
-    away: u32,
+    rejoins: u32,
     /// It was declared dead, and is to begin anew.
     rejoined: bool,
     /// Who failed a probe of this member.
@@ -144,13 +144,13 @@
     fn notify(&mut self, notification: Notification<'_, Identity>) {
         self.changed = true;
         self.events.push(match notification {
-            Notification::MemberUp(id) => Event::Up(id.clone()),
-            Notification::MemberDown(id) => Event::Down(id.clone()),
-            Notification::Rename(old, new) => Event::Renewed(old.clone(), new.clone()),
+            Notification::MemberUp(id) => Event::MemberUp(id.clone()),
+            Notification::MemberDown(id) => Event::MemberDown(id.clone()),
+            Notification::Rename(old, new) => Event::MemberRenewed(old.clone(), new.clone()),
             Notification::Rejoin(id) => {
-                self.away += 1;
+                self.rejoins += 1;
                 self.rejoined = true;
-                Event::WasAway(id.clone())
+                Event::Rejoined(id.clone())
             }
             _ => return,
         });
@@ -191,12 +191,12 @@
     pub fn new(me: Identity, s: &Settings, loopback_only: bool, rng: ChaCha8Rng, now: Micros) -> Swim {
         let state = Rc::new(RefCell::new(CodecState {
             known: HashSet::new(),
-            suspicions: Suspicions::new(micros(s.suspicion / 2), micros(s.probe_period / 3)),
+            suspicions: Suspicions::new(micros(s.suspicion_timeout / 2), micros(s.probe_period / 3)),
             own: None,
             leaves: false,
         }));
         let codec =
-            Checked { inner: PostcardCodec, loopback_only, state: state.clone(), most: s.members_most };
+            Checked { inner: PostcardCodec, loopback_only, state: state.clone(), most: s.max_members };
         let every = |frequency, n| {
             Some(PeriodicParams { frequency, num_members: NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN) })
         };
@@ -205,9 +205,9 @@
             probe_rtt: s.probe_period / 3,
             num_indirect_probes: NonZeroUsize::new(INDIRECT).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: s.suspicion,
+            suspect_to_down_after: s.suspicion_timeout,
             remove_down_after: Some(s.forget_after),
-            max_packet_size: NonZeroUsize::new(BODY_MOST).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(MAX_BODY_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: every(s.probe_period * 10, 1),
             // After a cut of any length each side must find the other again.
@@ -220,12 +220,12 @@
         Swim { foca, wishes, config, codec, rng, state, still, stalls: 0 }
     }
 
-    pub fn me(&self) -> &Identity {
+    pub fn own_identity(&self) -> &Identity {
         self.foca.identity()
     }
 
-    pub fn away(&self) -> u32 {
-        self.wishes.away
+    pub fn rejoins(&self) -> u32 {
+        self.wishes.rejoins
     }
 
     /// Takes a body of a peer's. `false`: it can't be taken.
@@ -245,12 +245,12 @@
     /// Keeps up with who is suspected, and asks or gives up who is due.
     fn check_suspects(&mut self) {
         let found = std::mem::take(&mut self.wishes.suspects);
-        let (me, foca) = (self.me().boot, &self.foca);
+        let (me, foca) = (self.own_identity().boot, &self.foca);
         let suspects = foca.iter_membership_state().filter(|m| m.state() == State::Suspect);
         let chosen = |suspect: &Identity| {
-            let own = rendezvous(suspect.boot, me);
+            let own = rendezvous_hash(suspect.boot, me);
             let others = foca.iter_members().filter(|m| m.id() != suspect);
-            others.filter(|m| rendezvous(suspect.boot, m.id().boot) < own).take(ASKERS).count() < ASKERS
+            others.filter(|m| rendezvous_hash(suspect.boot, m.id().boot) < own).take(ASKERS).count() < ASKERS
         };
         let mut state = self.state.borrow_mut();
         state.suspicions.review(suspects, &found, chosen);
@@ -270,9 +270,9 @@
     /// Asks a suspect, and tells it of the suspicion: the answer is under a later incarnation, which refutes it.
     fn ask(&mut self, suspect: Suspect, reported_down: bool) {
         let address = suspect.identity.address;
-        let own = self.state.borrow().own.clone().filter(|own| own.identity == *self.me());
+        let own = self.state.borrow().own.clone().filter(|own| own.identity == *self.own_identity());
         let header = Header {
-            src: self.me().clone(),
+            src: self.own_identity().clone(),
             src_incarnation: own.map_or(Incarnation::default(), |own| own.incarnation),
             dst: suspect.identity.clone(),
             message: Message::Ping(UNNUMBERED),
@@ -294,10 +294,11 @@
     /// Who was cut off took the others for dead, and still has that to pass on: believed by those that it comes back to,
     /// it would harm members that nothing has happened to. So it forgets all, and asks to be let in by some of them.
     fn begin_anew(&mut self, now: Micros) {
-        let others: Vec<SocketAddr> = self.others().map(|(id, _)| id.address).collect();
+        let others: Vec<SocketAddr> = self.other_members().map(|(id, _)| id.address).collect();
         // Other numbers than those of the life before.
         self.rng.set_stream(self.rng.get_stream().wrapping_add(1));
-        self.foca = Foca::new(self.me().clone(), self.config.clone(), self.rng.clone(), self.codec.clone());
+        self.foca =
+            Foca::new(self.own_identity().clone(), self.config.clone(), self.rng.clone(), self.codec.clone());
         self.state.borrow_mut().suspicions.clear();
         self.wishes.suspects.clear();
         self.wishes.timers.clear();
@@ -317,7 +318,7 @@
 
     /// Peers know a life at this address that came before: this one becomes the later one.
     pub fn outdo(&mut self, now: Micros, generation: u64) {
-        let me = self.me();
+        let me = self.own_identity();
         if generation >= me.generation {
             let me = Identity { generation: generation.saturating_add(1), ..me.clone() };
             self.wishes.now = now;
@@ -382,18 +383,18 @@
     }
 
     /// The others, as they are known: each with what is believed of it.
-    pub fn others(&self) -> impl Iterator<Item = (&Identity, foca::State)> {
+    pub fn other_members(&self) -> impl Iterator<Item = (&Identity, foca::State)> {
         self.foca.iter_membership_state().map(|m| (m.id(), m.state()))
     }
 
     /// How many others are taken to be alive.
-    pub fn alive(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         self.foca.num_members()
     }
 
     /// Gives up addresses that nobody knows any more.
     pub fn tidy(&mut self) -> Vec<SocketAddr> {
-        let held: HashSet<SocketAddr> = self.others().map(|(id, _)| id.address).collect();
+        let held: HashSet<SocketAddr> = self.other_members().map(|(id, _)| id.address).collect();
         let known = &mut self.state.borrow_mut().known;
         let gone = known.iter().filter(|a| !held.contains(a)).copied().collect();
         *known = held;
--- a/crates/peers/tests/datagrams.rs
+++ b/crates/peers/tests/datagrams.rs
@@ -2,7 +2,7 @@
 //! more than came. The corpus holds what once mattered; the rest is drawn from real datagrams, changed.
 
 use garnettally_model::Micros;
-use garnettally_peers::{Input, Keys, Output, Peers, Rejected, Settings, DATAGRAM_MOST};
+use garnettally_peers::{Input, Keys, Output, Peers, RejectReason, Settings, MAX_DATAGRAM_BYTES};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 fn member(port: u16, seeds: &[u16], keys: bool) -> Peers {
     let mut set = Settings::new(&format!("m{port}"), "z", address(port));
     set.seeds = seeds.iter().map(|&p| address(p)).collect();
-    set.members_most = 64;
-    set.facts_most = 256;
+    set.max_members = 64;
+    set.max_facts = 256;
     let keys = keys.then(|| Keys::parse(&format!("1 {}", "5a".repeat(32))).unwrap());
     Peers::new(set, keys, [port as u8; 32], Micros(0))
 }
@@ -56,7 +56,7 @@
             });
         }
     }
-    assert!(a.alive() == 2 && b.facts(Micros(3_000_000)).count() == 1, "they never met");
+    assert!(a.alive_count() == 2 && b.facts(Micros(3_000_000)).count() == 1, "they never met");
     (a, b, all)
 }
 
@@ -64,8 +64,8 @@
     let _ = p.handle(now, Input::Datagram(data));
     let out: usize = sends(p).iter().map(|(_, d)| d.len()).sum();
     // What could be opened may have an answer of one datagram; a stranger's gets no more than it sent.
-    assert!(out <= data.len().max(DATAGRAM_MOST * 8), "{out} bytes for {}", data.len());
-    assert!(p.alive() <= 64 && p.facts_held() <= 256);
+    assert!(out <= data.len().max(MAX_DATAGRAM_BYTES * 8), "{out} bytes for {}", data.len());
+    assert!(p.alive_count() <= 64 && p.fact_count() <= 256);
 }
 
 /// `PEERS_CORPUS=write` writes it anew: of each kind that passes between two members the first, whole, with its body
@@ -137,9 +137,9 @@
                 let mac = blake3::keyed_hash(&key, &data[..end]);
                 data[end..].copy_from_slice(&mac.as_bytes()[..16]);
             }
-            let before = a.counts().dropped;
+            let before = a.counters().dropped;
             survives(&mut a, now, &data);
-            strangers += u64::from(a.counts().dropped != before);
+            strangers += u64::from(a.counters().dropped != before);
         }
         assert!(strangers > 5_000, "{strangers}: nothing was tried");
     }
@@ -163,7 +163,7 @@
             data.extend(&mac.as_bytes()[..16]);
             assert_eq!(
                 a.handle(Micros(3_000_000), Input::Datagram(&data)),
-                Err(Rejected::Origin),
+                Err(RejectReason::Origin),
                 "{ip:?} {kind}"
             );
             assert_eq!(sends(&mut a), []);
@@ -185,5 +185,5 @@
             assert!(bytes <= data.len(), "{bytes} bytes for {}", data.len());
         }
     }
-    assert_eq!(a.alive(), 2);
+    assert_eq!(a.alive_count(), 2);
 }
--- a/crates/peers/tests/faults.rs
+++ b/crates/peers/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use garnettally_peers::{Event, Settings, State};
+use garnettally_peers::{Event, MemberState, Settings};
 use net::{address, within_bound, Link, Net, GOOD, SECOND};
 use rand::RngExt;
 use std::time::Duration;
@@ -34,7 +34,10 @@
     net.link(3, 2, Link { cut: true, ..GOOD });
     net.nodes.iter_mut().for_each(|n| n.events.clear());
     net.run(30 * SECOND);
-    assert!((0..5).all(|i| !heard(&net, i, |e| matches!(e, Event::Down(_)))), "somebody was declared dead");
+    assert!(
+        (0..5).all(|i| !heard(&net, i, |e| matches!(e, Event::MemberDown(_)))),
+        "somebody was declared dead"
+    );
     assert!(net.all_see(5));
 }
 
@@ -49,16 +52,16 @@
     net.run(30 * SECOND);
     assert_eq!((net.alive(0), net.alive(9)), (3, 7));
     for i in 0..10 {
-        assert_eq!(net.nodes[i].peers.as_ref().unwrap().size(net.clock(i)), 10, "member {i}");
+        assert_eq!(net.nodes[i].peers.as_ref().unwrap().fleet_size(net.clock(i)), 10, "member {i}");
     }
     net.heal();
     net.until(20 * SECOND, |n| n.all_see(10)).expect("one fleet again");
     // A size that is really smaller counts once the hold has passed.
     (5..10).for_each(|i| net.kill(i));
     net.run(59 * SECOND);
-    assert_eq!(net.nodes[0].peers.as_ref().unwrap().size(net.clock(0)), 10);
+    assert_eq!(net.nodes[0].peers.as_ref().unwrap().fleet_size(net.clock(0)), 10);
     net.run(20 * SECOND);
-    assert_eq!(net.nodes[0].peers.as_ref().unwrap().size(net.clock(0)), 5);
+    assert_eq!(net.nodes[0].peers.as_ref().unwrap().fleet_size(net.clock(0)), 5);
 }
 
 /// Guards against the word of one that was cut off, and took all others for dead, being believed when it comes back.
@@ -76,7 +79,7 @@
         net.heal();
         net.until(30 * SECOND, |n| n.all_see(5)).expect("whole again");
         net.run(5 * SECOND);
-        let innocent = |e: &Event| matches!(e, Event::Down(id) if id.address != address(4));
+        let innocent = |e: &Event| matches!(e, Event::MemberDown(id) if id.address != address(4));
         harmed += (0..4).filter(|&i| heard(&net, i, innocent)).count();
     }
     assert_eq!(harmed, 0, "members took others for dead that nothing had happened to");
@@ -97,7 +100,7 @@
 fn quick(s: &mut Settings) {
     s.max_age = Duration::from_secs(2);
     s.probe_period = Duration::from_millis(100);
-    s.suspicion = Duration::from_millis(600);
+    s.suspicion_timeout = Duration::from_millis(600);
     s.ask_every = Duration::from_millis(50);
 }
 
@@ -128,7 +131,7 @@
     let pairs =
         (0..5).flat_map(|i| (0..5).map(move |j| (i, j))).filter(|&(i, j)| i != j && side(i) == side(j));
     pairs
-        .filter(|&(i, j)| heard(&net, i, |e| matches!(e, Event::Down(id) if id.address == address(j))))
+        .filter(|&(i, j)| heard(&net, i, |e| matches!(e, Event::MemberDown(id) if id.address == address(j))))
         .count()
 }
 
@@ -163,8 +166,8 @@
 
 fn holds_for_dead(net: &Net, i: usize, other: usize) -> bool {
     let peers = net.nodes[i].peers.as_ref().unwrap();
-    let mut others = peers.others();
-    others.any(|(id, s)| s == State::Down && id.address == address(other))
+    let mut others = peers.other_members();
+    others.any(|(id, s)| s == MemberState::Down && id.address == address(other))
 }
 
 /// Guards against the same at a member that has just started, and has heard of nobody but from the one that was cut off.
@@ -234,11 +237,11 @@
     assert_eq!(net.ages(4), []);
     net.resume(4);
     net.until(20 * SECOND, |n| n.all_see(5)).expect("back");
-    assert!(heard(&net, 4, |e| matches!(e, Event::WasAway(_))));
+    assert!(heard(&net, 4, |e| matches!(e, Event::Rejoined(_))));
     let p = net.nodes[4].peers.as_ref().unwrap();
-    assert!(p.counts().away >= 1 && p.counts().stalls >= 1, "{:?}", p.counts());
+    assert!(p.counters().rejoins >= 1 && p.counters().stalls >= 1, "{:?}", p.counters());
     net.run(5 * SECOND);
-    assert!(!heard(&net, 4, |e| matches!(e, Event::Down(_))), "its standstill spoke against its peers");
+    assert!(!heard(&net, 4, |e| matches!(e, Event::MemberDown(_))), "its standstill spoke against its peers");
 }
 
 /// Guards against lost datagrams being taken for deaths that last.
@@ -279,15 +282,15 @@
     for round in 0..6 {
         net.kill(3);
         net.start(3);
-        let boot = net.nodes[3].peers.as_ref().unwrap().me().boot;
+        let boot = net.nodes[3].peers.as_ref().unwrap().own_identity().boot;
         let knows = |n: &Net, i: usize| {
             let peers = n.nodes[i].peers.as_ref().unwrap();
-            let found = peers.others().any(|(id, s)| id.boot == boot && s == State::Alive);
+            let found = peers.other_members().any(|(id, s)| id.boot == boot && s == MemberState::Alive);
             found
         };
         net.until(10 * SECOND, |n| (0..3).all(|i| knows(n, i)) && n.all_see(4))
             .unwrap_or_else(|| panic!("restart {round} is not known"));
-        let generation = net.nodes[3].peers.as_ref().unwrap().me().generation;
+        let generation = net.nodes[3].peers.as_ref().unwrap().own_identity().generation;
         assert!(generation > last || round == 0, "{generation} after {last}");
         last = generation;
     }
@@ -310,7 +313,7 @@
     net.run(5 * SECOND);
     for i in 0..4 {
         let told = net.nodes[i].events.iter().filter_map(|e| match e {
-            Event::SameName(a, b) => Some([a.address, b.address]),
+            Event::DuplicateName(a, b) => Some([a.address, b.address]),
             _ => None,
         });
         assert_eq!(told.collect::<Vec<_>>(), [[address(1), address(3)]], "member {i}");
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/peers/tests/net/mod.rs
@@ -162,7 +162,7 @@
             let Some(output) = self.nodes[i].peers.as_mut().and_then(Peers::poll) else { return };
             match output {
                 Output::Event(e) => self.nodes[i].events.push(e),
-                Output::Letter(from, letter) => self.nodes[i].letters.push((from, letter)),
+                Output::Message(from, letter) => self.nodes[i].letters.push((from, letter)),
                 Output::Send(to, data) => {
                     self.bytes += data.len() as u64;
                     let to = usize::from(to.port()) - 1000;
@@ -220,7 +220,7 @@
     }
 
     pub fn alive(&self, i: usize) -> u32 {
-        self.nodes[i].peers.as_ref().map_or(0, |p| p.alive())
+        self.nodes[i].peers.as_ref().map_or(0, |p| p.alive_count())
     }
 
     /// Each live member sees so many alive.
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -5,9 +5,9 @@
 use calloop::channel::{channel, Event as Came, Sender};
 use garnettally_config::file::Duties as Plan;
 use garnettally_duties::{Change, Duties, Event, Input, Output, Sender as From, Settings, Standing, To};
-use garnettally_link::{boot_time, Link};
+use garnettally_link::{time_since_boot, Link};
 use garnettally_model::Micros;
-use garnettally_peers::State;
+use garnettally_peers::MemberState;
 use garnettally_store::Store;
 use serde_json::{json, Value};
 use slog::{error, info, warn};
@@ -87,13 +87,13 @@
 impl FleetDuties {
     /// Begins; a voter's thread is started here.
     pub fn start(net: &Net, plan: Plan, link: &Link) -> Result<FleetDuties, String> {
-        let me = link.me();
+        let me = link.own_identity();
         let number = plan.voters.iter().position(|v| *v == me.name).map(|at| at as u64 + 1);
         let settings = Settings {
             life: me.boot,
             voters: (1..=plan.voters.len() as u64).collect(),
             // Names have no control characters.
-            roster: garnettally_verdicts::hash(&plan.voters.join("\n")),
+            roster: garnettally_verdicts::name_hash(&plan.voters.join("\n")),
             me: number,
             lease: Micros(plan.lease.as_micros() as i64),
             duties: plan.all(),
@@ -115,7 +115,7 @@
         }
         info!(net.log, "takes part in the fleet's duties"; "voter" => number, "voters" => plan.voters.join(" "));
         Ok(FleetDuties {
-            duties: Duties::new(settings, boot_time()),
+            duties: Duties::new(settings, time_since_boot()),
             life: me.boot,
             me: number,
             jobs,
@@ -135,20 +135,20 @@
     }
 
     pub fn next_wake(&self) -> Instant {
-        let left = self.duties.next_timeout() - boot_time();
+        let left = self.duties.next_timeout() - time_since_boot();
         Instant::now() + Duration::from_micros(left.0.max(0) as u64)
     }
 
     /// The epoch under which this process may act on a duty right now.
     pub fn may_act(&self, duty: &str) -> Option<u64> {
-        self.duties.may_act(boot_time(), duty)
+        self.duties.may_act(time_since_boot(), duty)
     }
 
     /// It is drained or ends: what it owns goes to others at once. Or the drain has ended.
     pub fn drain(&mut self, drained: bool) {
         if self.drained != drained {
             self.drained = drained;
-            self.duties.handle(boot_time(), if drained { Input::End } else { Input::Resume });
+            self.duties.handle(time_since_boot(), if drained { Input::End } else { Input::Resume });
         }
     }
 
@@ -156,9 +156,9 @@
     pub fn wish(&mut self, link: &Link, duty: &str, member: Option<&str>) -> Result<(), String> {
         let life = match member {
             None => 0,
-            Some(name) if name == link.me().name => self.life,
+            Some(name) if name == link.own_identity().name => self.life,
             Some(name) => {
-                let found = link.others().find(|(id, s)| id.name == name && *s == State::Alive);
+                let found = link.other_members().find(|(id, s)| id.name == name && *s == MemberState::Alive);
                 found.map(|(id, _)| id.boot).ok_or(format!("no member called {name:?} is alive"))?
             }
         };
@@ -166,18 +166,18 @@
         if !all.iter().any(|n| n == duty) {
             return Err(format!("no duty is called {duty:?}; there are {}", all.join(", ")));
         }
-        self.duties.handle(boot_time(), Input::Move(duty, life));
+        self.duties.handle(time_since_boot(), Input::Move(duty, life));
         Ok(())
     }
 
     /// What is due, after each round of the event loop.
     pub fn turn(&mut self, net: &Net, link: &mut Link) {
-        for (life, letter) in link.take_letters() {
+        for (life, letter) in link.take_messages() {
             let voter = voter_of(&self.plan, link, life);
-            self.duties.handle(boot_time(), Input::Message(From { life, voter }, &letter));
+            self.duties.handle(time_since_boot(), Input::Message(From { life, voter }, &letter));
         }
         while let Some(done) = self.done.pop_front() {
-            let now = boot_time();
+            let now = time_since_boot();
             match done {
                 Done::Opened(records, folder) => self.duties.handle(now, Input::Opened(&records, folder)),
                 Done::Stored(n) => self.duties.handle(now, Input::Stored(n)),
@@ -188,8 +188,8 @@
                 }
             }
         }
-        if self.duties.next_timeout() <= boot_time() {
-            self.duties.handle(boot_time(), Input::Wake);
+        if self.duties.next_timeout() <= time_since_boot() {
+            self.duties.handle(time_since_boot(), Input::Wake);
         }
         while let Some(output) = self.duties.poll() {
             match output {
@@ -215,18 +215,19 @@
             To::Voter(v) if Some(v) == self.me => Some(self.life),
             To::Voter(v) => {
                 let name = self.plan.voters.get(v as usize - 1);
-                let found = link.others().find(|(id, s)| Some(&id.name) == name && *s != State::Down);
+                let found =
+                    link.other_members().find(|(id, s)| Some(&id.name) == name && *s != MemberState::Down);
                 found.map(|(id, _)| id.boot)
             }
         };
         match life {
             Some(life) if life == self.life => {
                 let from = From { life, voter: self.me };
-                self.duties.handle(boot_time(), Input::Message(from, message));
+                self.duties.handle(time_since_boot(), Input::Message(from, message));
             }
             // What is lost on the way is sent again by who needs it.
             Some(life) => {
-                link.send_letter(life, message);
+                link.send_message(life, message);
             }
             None => {}
         }
@@ -245,7 +246,8 @@
                 error!(net.log, "this voter may not vote"; "why" => standing_name(Some(standing)))
             }
             Event::OtherVoters(life) => {
-                let member = link.others().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str());
+                let member =
+                    link.other_members().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str());
                 error!(net.log, "a member's file names other voters, or in another order: it is not heard";
                     "member" => member);
             }
@@ -257,10 +259,10 @@
             Event::Changed(change) => {
                 let mut there = false;
                 for (id, state) in
-                    link.others().filter(|(id, _)| id.boot == change.from || id.boot == change.to)
+                    link.other_members().filter(|(id, _)| id.boot == change.from || id.boot == change.to)
                 {
                     self.names.insert(id.boot, id.name.clone());
-                    there |= id.boot == change.from && state != State::Down;
+                    there |= id.boot == change.from && state != MemberState::Down;
                 }
                 there |= change.from == self.life;
                 let why = match (change.from, there) {
@@ -292,7 +294,7 @@
 
     /// `GET /duties`.
     pub fn json(&self, link: &Link) -> Value {
-        let now = boot_time();
+        let now = time_since_boot();
         let left = |until: Option<Micros>| until.map_or(0, |u| (u - now).0.max(0) / 1000);
         let owned: Vec<Value> = self
             .duties
@@ -302,7 +304,7 @@
             })
             .collect();
         let mut names = self.names.clone();
-        names.extend(link.others().map(|(id, _)| (id.boot, id.name.clone())));
+        names.extend(link.other_members().map(|(id, _)| (id.boot, id.name.clone())));
         let name = |life: u64| names.get(&life).cloned().unwrap_or_else(|| format!("{life:016x}"));
         let all: Vec<Value> = self
             .duties
@@ -320,7 +322,7 @@
             })
             .collect();
         json!({
-            "member": link.me().name, "life": format!("{:016x}", self.life), "voters": self.plan.voters,
+            "member": link.own_identity().name, "life": format!("{:016x}", self.life), "voters": self.plan.voters,
             "voter": self.me.is_some(), "standing": self.me.map(|_| standing_name(self.duties.standing())), "leads": self.duties.leads(),
             "decided": self.duties.ledger().map(|l| l.decided()),
             "lease_ms": self.plan.lease.as_millis() as u64, "owned": owned, "duties": all,
@@ -330,7 +332,7 @@
 
     /// Its lines of `/stats`.
     pub fn stats(&self, out: &mut String) {
-        let now = boot_time();
+        let now = time_since_boot();
         let acts = self.duties.owned().filter(|(d, e, _)| self.duties.may_act(now, d) == Some(*e)).count();
         let votes = self.duties.standing() == Some(Standing::Votes);
         for (what, n) in [
@@ -351,7 +353,7 @@
 pub(crate) struct Stored(Done);
 
 fn voter_of(plan: &Plan, link: &Link, life: u64) -> Option<u64> {
-    let name = link.others().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str())?;
+    let name = link.other_members().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str())?;
     plan.voters.iter().position(|v| v == name).map(|at| at as u64 + 1)
 }
 
--- a/crates/serve/src/export.rs
+++ b/crates/serve/src/export.rs
@@ -133,8 +133,9 @@
 
     /// The request, with the epoch that holds right now; `None`: this member may not act any more.
     fn request(&mut self, link: &Link, duties: &FleetDuties, own: Figures) -> Option<Vec<u8>> {
-        let me = link.me();
-        let names: FxHashMap<u64, &str> = link.others().map(|(id, _)| (id.boot, id.name.as_str())).collect();
+        let me = link.own_identity();
+        let names: FxHashMap<u64, &str> =
+            link.other_members().map(|(id, _)| (id.boot, id.name.as_str())).collect();
         let facts = link.facts().filter(|f| f.key == KEY && f.origin != me.boot);
         let rows = facts.filter_map(|f| {
             let name = names.get(&f.origin).copied().unwrap_or("");
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -11,8 +11,11 @@
 use garnettally_decisions::facade::{Decisions, Micros, ServerId};
 use garnettally_link::{Link, LinkError, LinkSettings};
 use garnettally_model::Hearsay;
-use garnettally_peers::{Event, Fact, Identity, Rejected, State};
-use garnettally_verdicts::{hash, merge, Claim, Exchange, Prior, Said, Subject, View, What};
+use garnettally_peers::{Event, Fact, Identity, MemberState, RejectReason};
+use garnettally_verdicts::{
+    merge_claims, name_hash, Claim, FleetView, MemberClaim, MergedVerdict, NodeCondition, Subject,
+    VerdictExchange,
+};
 use rustc_hash::FxHashMap;
 use serde_json::{json, Value};
 use slog::{error, info, warn, Logger};
@@ -31,7 +34,7 @@
     /// As it was started: what else a reload says holds from the next start on.
     settings: Settings,
     /// One for each pool.
-    exchanges: BTreeMap<PoolId, Exchange>,
+    exchanges: BTreeMap<PoolId, VerdictExchange>,
     /// Names by their hashes: of pools and classes, and of nodes, by pool.
     names: FxHashMap<(u64, u64), String>,
     duties: Option<FleetDuties>,
@@ -57,25 +60,25 @@
     let member = garnettally_peers::Settings {
         seeds: s.seeds.clone(),
         probe_period: s.probe_period,
-        suspicion: s.suspicion,
+        suspicion_timeout: s.suspicion,
         forget_after: s.forget_after,
         ask_every: s.ask_every,
         ask_peers: s.ask_peers,
         // An answer that was under way for longer than a probe may be is as good as lost.
         ask_timeout: s.probe_period,
         max_age: s.max_age,
-        facts_most: s.facts,
-        members_most: s.members,
+        max_facts: s.facts,
+        max_members: s.members,
         size_floor: s.size_floor,
         size_hold: s.size_hold,
         ..garnettally_peers::Settings::new(&s.name, &s.zone, s.advertise)
     };
     LinkSettings {
         member,
-        bind: s.address,
+        bind_address: s.address,
         key_file: s.key_file.clone(),
-        send_bytes: s.send_bytes,
-        receive_datagrams: s.receive_datagrams,
+        max_send_bytes_per_s: s.send_bytes,
+        max_receive_datagrams_per_s: s.receive_datagrams,
     }
 }
 
@@ -86,12 +89,12 @@
         let source = Generic::new(link.socket(), Interest::READ, Mode::Level);
         let watched = net.handle.insert_source(source, |_, _, proxy: &mut Proxy| {
             if let Some(fleet) = &mut proxy.fleet {
-                fleet.link.readable();
+                fleet.link.on_readable();
             }
             Ok(PostAction::Continue)
         });
         watched.map_err(|e| format!("fleet.address: {}", e.error))?;
-        let me = link.me();
+        let me = link.own_identity();
         info!(net.log, "a member of the fleet"; "member" => &me.name, "zone" => &me.zone, "address" => %me.address,
             "life" => format!("{:016x}", me.boot), "keys" => settings.key_file.is_some());
         let now = Instant::now();
@@ -113,9 +116,9 @@
 
     /// What is due, after each round of the event loop.
     pub fn turn(&mut self, net: &mut Net, own: Figures, now: Instant) {
-        self.link.turn();
+        self.link.run_due_timers();
         for event in self.link.take_events() {
-            tell(net, &event, self.link.alive());
+            tell(net, &event, self.link.alive_count());
         }
         match &mut self.duties {
             Some(duties) => {
@@ -125,7 +128,7 @@
                 }
             }
             // Nobody reads them here.
-            None => drop(self.link.take_letters()),
+            None => drop(self.link.take_messages()),
         }
     }
 
@@ -192,19 +195,19 @@
         self.exchanges.retain(|id, _| pools.iter().any(|p| p.id == *id));
         let max_age = Micros(self.settings.max_age.as_micros() as i64);
         for p in pools {
-            let e = self.exchanges.entry(p.id).or_insert_with(|| Exchange::new(p.name, p.classes));
+            let e = self.exchanges.entry(p.id).or_insert_with(|| VerdictExchange::new(p.name, p.classes));
             let name = |id: ServerId| p.decisions.upstream_name(id);
-            for n in e.met()..p.decisions.met() {
+            for n in e.known_node_count()..p.decisions.met() {
                 let name = name(ServerId(n as u32));
-                self.names.insert((e.pool(), hash(name)), name.to_string());
+                self.names.insert((e.pool_hash(), name_hash(name)), name.to_string());
             }
-            e.meet(p.decisions.met(), &name);
-            self.names.entry((0, e.pool())).or_insert_with(|| p.name.to_string());
+            e.register_nodes(p.decisions.met(), &name);
+            self.names.entry((0, e.pool_hash())).or_insert_with(|| p.name.to_string());
             for class in p.classes {
-                self.names.entry((0, hash(class))).or_insert_with(|| class.to_string());
+                self.names.entry((0, name_hash(class))).or_insert_with(|| class.to_string());
             }
             let findings = p.decisions.findings(at);
-            for (key, value, age) in e.speak(at, &findings, max_age, name) {
+            for (key, value, age) in e.collect_claims(at, &findings, max_age, name) {
                 self.link.publish(&key, &value, Duration::from_micros(age.0.max(0) as u64));
             }
         }
@@ -213,12 +216,12 @@
             return Vec::new();
         }
         self.merged = (version, now);
-        let said: Vec<Said> = self.link.facts().filter_map(|f| read(&f)).collect();
+        let said: Vec<MemberClaim> = self.link.facts().filter_map(|f| read(&f)).collect();
         let priors = self.merge(&said, pools);
         let mut heard = Vec::new();
         for p in pools {
             if let Some(e) = self.exchanges.get_mut(&p.id) {
-                let told = e.hear(at, &priors, |id| p.decisions.started(id));
+                let told = e.update_verdicts(at, &priors, |id| p.decisions.started(id));
                 for h in &told {
                     self.log_verdict(log, p, h, &said);
                 }
@@ -226,15 +229,15 @@
             }
         }
         // Not what members say, but what modules here are told: of their own pools, and of nodes in their present life.
-        self.acted_on = self.exchanges.values().map(|e| e.told().count() as u64).sum();
+        self.acted_on = self.exchanges.values().map(|e| e.active_verdicts().count() as u64).sum();
         heard
     }
 
     /// How many members the fleet is taken to have, and which of them, from 0, this one is: by the order of addresses,
     /// stretched over the size, as members that are missing may come back.
     pub fn share(&self) -> (u32, u32) {
-        let (size, me) = (self.link.size(), self.link.me().address);
-        let live = self.link.others().filter(|(_, s)| *s != State::Down);
+        let (size, me) = (self.link.fleet_size(), self.link.own_identity().address);
+        let live = self.link.other_members().filter(|(_, s)| *s != MemberState::Down);
         let (mut before, mut all) = (0, 1);
         for (id, _) in live {
             all += 1;
@@ -244,9 +247,9 @@
     }
 
     /// Writes what this process goes by from now on, with what each member says of the node, and how old that is.
-    fn log_verdict(&self, log: &Logger, pool: &Seen<'_>, heard: &Hearsay, said: &[Said]) {
+    fn log_verdict(&self, log: &Logger, pool: &Seen<'_>, heard: &Hearsay, said: &[MemberClaim]) {
         let name = pool.decisions.upstream_name(heard.server);
-        let (of, node) = (hash(pool.name), hash(name));
+        let (of, node) = (name_hash(pool.name), name_hash(name));
         let members = self.member_names();
         let voices: Vec<String> = said
             .iter()
@@ -254,7 +257,7 @@
             .map(|s| {
                 let member = members.get(&s.member).copied().unwrap_or("one unknown");
                 let of_class = if s.subject.class == 0 { "" } else { " for a class" };
-                format!("{member}: {}{of_class} {} ms ago", what_name(s.claim.what), s.age.0 / 1000)
+                format!("{member}: {}{of_class} {} ms ago", what_name(s.claim.condition), s.age.0 / 1000)
             })
             .collect();
         let class = heard.class.and_then(|c| pool.classes.get(c.0 as usize)).map_or("", String::as_str);
@@ -264,28 +267,28 @@
 
     /// The names of members by their lives.
     fn member_names(&self) -> FxHashMap<u64, &str> {
-        let me = self.link.me();
-        let others = self.link.others().map(|(id, _)| (id.boot, id.name.as_str()));
+        let me = self.link.own_identity();
+        let others = self.link.other_members().map(|(id, _)| (id.boot, id.name.as_str()));
         others.chain([(me.boot, me.name.as_str())]).collect()
     }
 
-    fn merge(&self, said: &[Said], pools: &[Seen<'_>]) -> Vec<Prior> {
-        let me = self.link.me();
+    fn merge(&self, said: &[MemberClaim], pools: &[Seen<'_>]) -> Vec<MergedVerdict> {
+        let me = self.link.own_identity();
         let members: FxHashMap<u64, (bool, bool)> = self
             .link
-            .others()
-            .map(|(id, state)| (id.boot, (id.zone == me.zone, state != State::Down)))
+            .other_members()
+            .map(|(id, state)| (id.boot, (id.zone == me.zone, state != MemberState::Down)))
             .collect();
         let nodes: FxHashMap<u64, usize> =
-            pools.iter().map(|p| (hash(p.name), p.decisions.ready())).collect();
-        let view = View {
-            me: me.boot,
+            pools.iter().map(|p| (name_hash(p.name), p.decisions.ready())).collect();
+        let view = FleetView {
+            own_life: me.boot,
             same_zone: &|member| members.get(&member).map(|m| m.0),
-            lives: &|member| members.get(&member).is_some_and(|m| m.1),
-            alive: self.link.alive() as usize,
-            nodes: &|pool| nodes.get(&pool).copied().unwrap_or(0),
+            is_alive: &|member| members.get(&member).is_some_and(|m| m.1),
+            alive_members: self.link.alive_count() as usize,
+            pool_size: &|pool| nodes.get(&pool).copied().unwrap_or(0),
         };
-        merge(said, &view)
+        merge_claims(said, &view)
     }
 
     /// What members say of nodes now, with who said it and how old it is.
@@ -296,11 +299,11 @@
         let said = self.link.facts().filter_map(|f| read(&f));
         let rows = said.map(|s| {
             let Subject { pool, node, class, .. } = s.subject;
-            let what = what_name(s.claim.what);
+            let what = what_name(s.claim.condition);
             json!({
                 "pool": name(0, pool), "node": name(pool, node),
                 "class": (class != 0).then(|| name(0, class)),
-                "what": what, "bad": (s.claim.bad * 100.0).round() / 100.0, "age_ms": s.age.0 / 1000,
+                "what": what, "bad": (s.claim.severity * 100.0).round() / 100.0, "age_ms": s.age.0 / 1000,
                 "by": members.get(&s.member).map_or_else(|| format!("{:016x}", s.member), |m| m.to_string()),
             })
         });
@@ -317,7 +320,7 @@
         if new != Some(&self.settings) {
             warn!(net.log, "[fleet] has changed; that holds from the next start on");
         }
-        match self.link.reread_keys() {
+        match self.link.reload_keys() {
             Ok(()) => {}
             Err(e) => error!(net.log, "the fleet's keys before stay in force"; "error" => %e),
         }
@@ -325,9 +328,9 @@
 
     /// `GET /members`.
     pub fn json(&self) -> Value {
-        let me = self.link.me();
+        let me = self.link.own_identity();
         let mut members: Vec<(&Identity, &str)> = vec![(me, "self")];
-        members.extend(self.link.others().map(|(id, state)| (id, name(state))));
+        members.extend(self.link.other_members().map(|(id, state)| (id, name(state))));
         members.sort_by(|a, b| a.0.name.cmp(&b.0.name).then(a.0.address.cmp(&b.0.address)));
         let rows: Vec<Value> = members
             .into_iter()
@@ -338,14 +341,14 @@
                 })
             })
             .collect();
-        let counts = self.link.counts();
-        let dropped: serde_json::Map<String, Value> = Rejected::ALL
+        let counts = self.link.counters();
+        let dropped: serde_json::Map<String, Value> = RejectReason::ALL
             .iter()
             .map(|why| (format!("{why:?}").to_lowercase(), counts.dropped[why.index()].into()))
             .collect();
         json!({
-            "member": me.name, "alive": self.link.alive(), "size": self.link.size(), "away": counts.away,
-            "stalls": counts.stalls, "facts": self.link.facts_held(),
+            "member": me.name, "alive": self.link.alive_count(), "size": self.link.fleet_size(), "away": counts.rejoins,
+            "stalls": counts.stalls, "facts": self.link.fact_count(),
             "max_age_ms": self.settings.max_age.as_millis() as u64, "members": rows,
             "dropped": dropped, "verdicts": self.verdicts(), "acted_on": self.acted_on,
         })
@@ -359,29 +362,29 @@
         if let Some(export) = &self.export {
             export.stats(out);
         }
-        let (counts, dropped) = (self.link.counts(), self.link.dropped());
+        let (counts, dropped) = (self.link.counters(), self.link.dropped());
         for (what, n) in [
-            ("members_alive", u64::from(self.link.alive())),
-            ("size", u64::from(self.link.size())),
-            ("facts", self.link.facts_held() as u64),
+            ("members_alive", u64::from(self.link.alive_count())),
+            ("size", u64::from(self.link.fleet_size())),
+            ("facts", self.link.fact_count() as u64),
             ("verdicts_acted_on", self.acted_on),
         ] {
             let _ = writeln!(out, "edge_gw.fleet.{what}:{n}|g");
         }
         for (what, n) in [
-            ("away", u64::from(counts.away)),
+            ("away", u64::from(counts.rejoins)),
             ("stalls", u64::from(counts.stalls)),
-            ("taken", counts.taken),
+            ("taken", counts.accepted),
             ("sent", counts.sent),
             ("sent_bytes", counts.sent_bytes),
-            ("facts_over", counts.facts_over),
-            ("dropped.rate", dropped.received),
-            ("dropped.unsent", dropped.unsent),
-            ("dropped.failed", dropped.failed),
+            ("facts_over", counts.facts_rejected),
+            ("dropped.rate", dropped.over_receive_rate),
+            ("dropped.unsent", dropped.over_send_rate),
+            ("dropped.failed", dropped.send_failed),
         ] {
             let _ = writeln!(out, "edge_gw.fleet.{what}:{n}|c");
         }
-        for why in Rejected::ALL {
+        for why in RejectReason::ALL {
             let what = format!("{why:?}").to_lowercase();
             let _ = writeln!(out, "edge_gw.fleet.dropped.{what}:{}|c", counts.dropped[why.index()]);
         }
@@ -389,43 +392,43 @@
 }
 
 /// `None`: the news is not a verdict.
-fn read(f: &Fact<'_>) -> Option<Said> {
-    let (subject, claim) = (Subject::of_key(f.key)?, Claim::of_value(f.value)?);
-    Some(Said { member: f.origin, subject, claim, age: f.age })
+fn read(f: &Fact<'_>) -> Option<MemberClaim> {
+    let (subject, claim) = (Subject::from_key(f.key)?, Claim::from_value(f.value)?);
+    Some(MemberClaim { member: f.origin, subject, claim, age: f.age })
 }
 
-fn what_name(what: What) -> &'static str {
+fn what_name(what: NodeCondition) -> &'static str {
     match what {
-        What::Sick => "sick",
-        What::Unreachable => "unreachable",
-        What::Well => "well",
-        What::Silent => "silent",
+        NodeCondition::Sick => "sick",
+        NodeCondition::Unreachable => "unreachable",
+        NodeCondition::Well => "well",
+        NodeCondition::Silent => "silent",
     }
 }
 
-fn name(state: State) -> &'static str {
+fn name(state: MemberState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Down => "down",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Down => "down",
     }
 }
 
 fn tell(net: &Net, event: &Event, alive: u32) {
     let log = &net.log;
     match event {
-        Event::Up(m) => {
+        Event::MemberUp(m) => {
             info!(log, "a member is there"; "member" => &m.name, "address" => %m.address, "alive" => alive)
         }
-        Event::Down(m) => {
+        Event::MemberDown(m) => {
             warn!(log, "a member is down"; "member" => &m.name, "address" => %m.address, "alive" => alive)
         }
-        Event::Renewed(_, m) => {
+        Event::MemberRenewed(_, m) => {
             info!(log, "a member has a new life"; "member" => &m.name, "address" => %m.address,
                 "generation" => m.generation)
         }
-        Event::WasAway(_) => warn!(log, "was taken to be dead, and has joined anew"),
-        Event::SameName(a, b) => error!(log, "two members have one name: give each its own";
+        Event::Rejoined(_) => warn!(log, "was taken to be dead, and has joined anew"),
+        Event::DuplicateName(a, b) => error!(log, "two members have one name: give each its own";
             "member" => &a.name, "address" => %a.address, "other" => %b.address),
     }
 }
--- a/crates/verdicts/src/claim.rs
+++ b/crates/verdicts/src/claim.rs
@@ -14,13 +14,13 @@
     /// The hash of its name.
     pub node: u64,
     /// When it started, in microseconds, as its list says; 0: the list does not say.
-    pub since: i64,
+    pub started_at_us: i64,
     /// The hash of the class's name; 0: all classes.
     pub class: u64,
 }
 
 /// The hash that stands for a name. Members need not have the same numbers.
-pub fn hash(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 0x6761_726e).max(1)
 }
 
@@ -28,30 +28,30 @@
     /// As the key of a fact.
     pub fn to_key(self) -> Vec<u8> {
         let mut key = vec![KIND];
-        for part in [self.pool, self.node, self.since as u64, self.class] {
+        for part in [self.pool, self.node, self.started_at_us as u64, self.class] {
             key.extend(part.to_be_bytes());
         }
         key
     }
 
     /// `None`: the key is not one of a verdict.
-    pub fn of_key(key: &[u8]) -> Option<Subject> {
+    pub fn from_key(key: &[u8]) -> Option<Subject> {
         let (&KIND, parts) = key.split_first()? else { return None };
         let mut numbers = parts.chunks_exact(8).map(|c| c.try_into().map(u64::from_be_bytes));
         let mut next = || numbers.next()?.ok();
-        let (pool, node, since, class) = (next()?, next()?, next()? as i64, next()?);
-        (parts.len() == 32).then_some(Subject { pool, node, since, class })
+        let (pool, node, started_at_us, class) = (next()?, next()?, next()? as i64, next()?);
+        (parts.len() == 32).then_some(Subject { pool, node, started_at_us, class })
     }
 
     /// The start of a node as it is written here.
-    pub fn since(told: Option<Micros>) -> i64 {
+    pub fn encode_start(told: Option<Micros>) -> i64 {
         told.map_or(0, |t| t.0)
     }
 }
 
 /// What is said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum NodeCondition {
     /// It errs, hangs or is slow: that holds wherever one stands.
     Sick,
     /// It can't be reached, which may be the fault of the way there.
@@ -66,28 +66,28 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// What.
-    pub what: What,
+    pub condition: NodeCondition,
     /// How bad it was found, 0 to 1.
-    pub bad: f64,
+    pub severity: f64,
 }
 
 impl Claim {
     /// As the value of a fact.
     pub fn to_value(self) -> Vec<u8> {
-        vec![self.what as u8, (self.bad.clamp(0.0, 1.0) * 255.0).round() as u8]
+        vec![self.condition as u8, (self.severity.clamp(0.0, 1.0) * 255.0).round() as u8]
     }
 
     /// `None`: the value is not one of a verdict.
-    pub fn of_value(value: &[u8]) -> Option<Claim> {
-        let &[what, bad] = value else { return None };
-        let what = match what {
-            0 => What::Sick,
-            1 => What::Unreachable,
-            2 => What::Well,
-            3 => What::Silent,
+    pub fn from_value(value: &[u8]) -> Option<Claim> {
+        let &[condition, severity] = value else { return None };
+        let condition = match condition {
+            0 => NodeCondition::Sick,
+            1 => NodeCondition::Unreachable,
+            2 => NodeCondition::Well,
+            3 => NodeCondition::Silent,
             _ => return None,
         };
-        Some(Claim { what, bad: f64::from(bad) / 255.0 })
+        Some(Claim { condition, severity: f64::from(severity) / 255.0 })
     }
 }
 
--- a/crates/verdicts/src/exchange.rs
+++ b/crates/verdicts/src/exchange.rs
@@ -1,12 +1,12 @@
 //! One pool's opinions out, and hearsay in.
 
-use crate::claim::{hash, Claim, Subject, What};
-use crate::merge::{own_fault, Prior};
+use crate::claim::{name_hash, Claim, NodeCondition, Subject};
+use crate::merge::{own_fault, MergedVerdict};
 use garnettally_model::{ClassId, Findings, Hearsay, Micros, Opinion, ServerId};
 use rustc_hash::FxHashMap;
 
 /// What is to be said: key, value, and how old it is.
-pub type Saying = (Vec<u8>, Vec<u8>, Micros);
+pub type EncodedClaim = (Vec<u8>, Vec<u8>, Micros);
 
 struct Spoken {
     claim: Claim,
@@ -16,7 +16,7 @@
 }
 
 /// What one pool's module says and hears.
-pub struct Exchange {
+pub struct VerdictExchange {
     pool: u64,
     classes: Vec<u64>,
     /// The hashes of its nodes' names, by number, and back.
@@ -44,12 +44,12 @@
     o.bad > 0.0 || o.silent >= SILENT || (o.score >= DOUBTED && o.ok_at < o.at)
 }
 
-impl Exchange {
+impl VerdictExchange {
     /// For the pool of this name, with these classes.
-    pub fn new(pool: &str, classes: &[String]) -> Exchange {
-        Exchange {
-            pool: hash(pool),
-            classes: classes.iter().map(|c| hash(c)).collect(),
+    pub fn new(pool: &str, classes: &[String]) -> VerdictExchange {
+        VerdictExchange {
+            pool: name_hash(pool),
+            classes: classes.iter().map(|c| name_hash(c)).collect(),
             nodes: Vec::new(),
             numbers: FxHashMap::default(),
             spoken: FxHashMap::default(),
@@ -58,28 +58,28 @@
     }
 
     /// Of how many nodes the names were met.
-    pub fn met(&self) -> usize {
+    pub fn known_node_count(&self) -> usize {
         self.nodes.len()
     }
 
     /// The hash of the pool's name.
-    pub fn pool(&self) -> u64 {
+    pub fn pool_hash(&self) -> u64 {
         self.pool
     }
 
     /// The number of a node, as far as its name was met.
-    pub fn node(&self, hash: u64) -> Option<ServerId> {
+    pub fn server_by_hash(&self, hash: u64) -> Option<ServerId> {
         self.numbers.get(&hash).copied()
     }
 
     /// What is to be said anew; `name` tells a node's.
-    pub fn speak<'n>(
+    pub fn collect_claims<'n>(
         &mut self,
         now: Micros,
         findings: &Findings,
         max_age: Micros,
         name: impl Fn(ServerId) -> &'n str,
-    ) -> Vec<Saying> {
+    ) -> Vec<EncodedClaim> {
         let opinions = &findings.opinions;
         let mut nodes: Vec<u32> = opinions.iter().filter(|o| is_doubted(o)).map(|o| o.server.0).collect();
         nodes.dedup();
@@ -92,17 +92,19 @@
             // Where nothing ever came back, a node that is sick and a way that is broken look the same.
             let is_reached = o.answered && !o.unreachable;
             let found = match (o.bad > 0.0, is_reached) {
-                (true, false) => Some((What::Unreachable, o.bad, o.at)),
-                (true, true) => Some((What::Sick, o.bad, o.at)),
+                (true, false) => Some((NodeCondition::Unreachable, o.bad, o.at)),
+                (true, true) => Some((NodeCondition::Sick, o.bad, o.at)),
                 // It is silent now.
-                (false, _) if o.silent >= SILENT && o.answered => Some((What::Silent, SILENT_BAD, now)),
+                (false, _) if o.silent >= SILENT && o.answered => {
+                    Some((NodeCondition::Silent, SILENT_BAD, now))
+                }
                 _ => None,
             };
-            if let Some((what, bad, at)) = found.filter(|_| !silent) {
-                let claim = Claim { what, bad };
+            if let Some((condition, severity, at)) = found.filter(|_| !silent) {
+                let claim = Claim { condition, severity };
                 let again = before.is_none_or(|b| {
-                    b.claim.what != what
-                        || (b.claim.bad - bad).abs() > CHANGE
+                    b.claim.condition != condition
+                        || (b.claim.severity - severity).abs() > CHANGE
                         || (at > b.found && now - b.spoken >= Micros(max_age.0 / RENEWED))
                 });
                 if again {
@@ -112,7 +114,7 @@
             } else if before.is_some() {
                 // As old as the answer that says so: one that was let back in by hearsay proves nothing.
                 self.spoken.remove(&subject);
-                let claim = Claim { what: What::Well, bad: 0.0 };
+                let claim = Claim { condition: NodeCondition::Well, severity: 0.0 };
                 sayings.push((subject.to_key(), claim.to_value(), now - o.ok_at));
             }
         }
@@ -121,16 +123,16 @@
     }
 
     /// What the module is to hear anew. `since` tells when a node started, as the list here has it.
-    pub fn hear(
+    pub fn update_verdicts(
         &mut self,
         now: Micros,
-        priors: &[Prior],
+        priors: &[MergedVerdict],
         since: impl Fn(ServerId) -> Option<Micros>,
     ) -> Vec<Hearsay> {
         let mut heard = Vec::new();
         let mut left = std::mem::take(&mut self.told);
         for p in priors.iter().filter(|p| p.subject.pool == self.pool) {
-            let Some(server) = self.node(p.subject.node) else { continue };
+            let Some(server) = self.server_by_hash(p.subject.node) else { continue };
             let class = match p.subject.class {
                 0 => None,
                 c => match self.classes.iter().position(|k| *k == c) {
@@ -139,10 +141,10 @@
                 },
             };
             // A node that started anew is not the one that was spoken of.
-            if Subject::since(since(server)) != p.subject.since {
+            if Subject::encode_start(since(server)) != p.subject.started_at_us {
                 continue;
             }
-            let new = Hearsay { server, class, bad: p.bad, at: now - p.age, tries: p.tries };
+            let new = Hearsay { server, class, bad: p.severity, at: now - p.age, tries: p.probes_node };
             let before = left.remove(&p.subject).map(|(_, _, h)| h);
             let same = before.filter(|b| {
                 b.tries == new.tries && (b.bad - new.bad).abs() <= CHANGE && new.at - b.at < Micros(100_000)
@@ -160,22 +162,22 @@
     }
 
     /// What the module goes by now, of others' words.
-    pub fn told(&self) -> impl Iterator<Item = &Hearsay> {
+    pub fn active_verdicts(&self) -> impl Iterator<Item = &Hearsay> {
         self.told.values().map(|(_, _, h)| h)
     }
 
     fn subject<'n>(&mut self, o: &Opinion, name: &impl Fn(ServerId) -> &'n str) -> Subject {
-        self.meet(o.server.0 as usize + 1, name);
+        self.register_nodes(o.server.0 as usize + 1, name);
         let class = o.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
         let node = self.nodes[o.server.0 as usize];
-        Subject { pool: self.pool, node, since: Subject::since(o.since), class }
+        Subject { pool: self.pool, node, started_at_us: Subject::encode_start(o.since), class }
     }
 
     /// Learns the names of nodes up to this number; numbers are not given out again.
-    pub fn meet<'n>(&mut self, most: usize, name: &impl Fn(ServerId) -> &'n str) {
+    pub fn register_nodes<'n>(&mut self, most: usize, name: &impl Fn(ServerId) -> &'n str) {
         for n in self.nodes.len()..most {
             let id = ServerId(n as u32);
-            let hash = hash(name(id));
+            let hash = name_hash(name(id));
             self.nodes.push(hash);
             self.numbers.insert(hash, id);
         }
--- a/crates/verdicts/src/exchange_tests.rs
+++ b/crates/verdicts/src/exchange_tests.rs
@@ -24,39 +24,46 @@
     Findings { sends_to, opinions: opinions.to_vec() }
 }
 
-fn said(e: &mut Exchange, now: i64, o: Opinion, sends_to: usize) -> Vec<(Claim, i64)> {
-    let sayings = e.speak(Micros(now), &findings(sends_to, &[o]), AGE, |_| "n");
-    sayings.into_iter().map(|(_, v, age)| (Claim::of_value(&v).unwrap(), age.0)).collect()
+fn said(e: &mut VerdictExchange, now: i64, o: Opinion, sends_to: usize) -> Vec<(Claim, i64)> {
+    let sayings = e.collect_claims(Micros(now), &findings(sends_to, &[o]), AGE, |_| "n");
+    sayings.into_iter().map(|(_, v, age)| (Claim::from_value(&v).unwrap(), age.0)).collect()
 }
 
 #[test]
 fn a_finding_is_said_once_renewed_by_evidence_and_ended_by_a_good_answer() {
-    let mut e = Exchange::new("p", &[]);
+    let mut e = VerdictExchange::new("p", &[]);
     let first = said(&mut e, 1_000, opinion(0.8, 900, 0), 10);
-    assert_eq!((first.len(), first[0].0.what, first[0].1), (1, What::Sick, 100));
+    assert_eq!((first.len(), first[0].0.condition, first[0].1), (1, NodeCondition::Sick, 100));
     assert_eq!(said(&mut e, 2_000, opinion(0.8, 900, 0), 10), []);
     // No new evidence: it grows old, whatever time passes.
     assert_eq!(said(&mut e, 10_000_000, opinion(0.8, 900, 0), 10), []);
     assert_eq!(said(&mut e, 10_000_100, opinion(0.8, 10_000_000, 0), 10).len(), 1);
     let well = said(&mut e, 11_000_000, opinion(0.0, 10_900_000, 10_900_000), 10);
-    assert_eq!((well.len(), well[0].0.what, well[0].1), (1, What::Well, 100_000));
+    assert_eq!((well.len(), well[0].0.condition, well[0].1), (1, NodeCondition::Well, 100_000));
     assert_eq!(said(&mut e, 12_000_000, opinion(0.0, 10_900_000, 10_900_000), 10), []);
 }
 
 #[test]
 fn hearsay_is_told_once_taken_back_once_and_never_of_another_life() {
-    let mut e = Exchange::new("p", &[]);
-    e.meet(1, &|_| "n");
-    let subject = Subject { pool: hash("p"), node: hash("n"), since: 5, class: 0 };
-    let prior = Prior { subject, bad: 0.9, age: Micros(10), tries: false };
-    assert_eq!(e.hear(Micros(100), &[prior], |_| Some(Micros(6))), []);
-    let told = e.hear(Micros(100), &[prior], |_| Some(Micros(5)));
+    let mut e = VerdictExchange::new("p", &[]);
+    e.register_nodes(1, &|_| "n");
+    let subject = Subject { pool: name_hash("p"), node: name_hash("n"), started_at_us: 5, class: 0 };
+    let prior = MergedVerdict { subject, severity: 0.9, age: Micros(10), probes_node: false };
+    assert_eq!(e.update_verdicts(Micros(100), &[prior], |_| Some(Micros(6))), []);
+    let told = e.update_verdicts(Micros(100), &[prior], |_| Some(Micros(5)));
     assert_eq!((told.len(), told[0].bad, told[0].at), (1, 0.9, Micros(90)));
-    assert_eq!(e.hear(Micros(200), &[Prior { age: Micros(110), ..prior }], |_| Some(Micros(5))), []);
-    assert_eq!(e.hear(Micros(200), &[Prior { tries: true, ..prior }], |_| Some(Micros(5))).len(), 1);
-    let back = e.hear(Micros(300), &[], |_| Some(Micros(5)));
+    assert_eq!(
+        e.update_verdicts(Micros(200), &[MergedVerdict { age: Micros(110), ..prior }], |_| Some(Micros(5))),
+        []
+    );
+    assert_eq!(
+        e.update_verdicts(Micros(200), &[MergedVerdict { probes_node: true, ..prior }], |_| Some(Micros(5)))
+            .len(),
+        1
+    );
+    let back = e.update_verdicts(Micros(300), &[], |_| Some(Micros(5)));
     assert_eq!((back.len(), back[0].bad), (1, 0.0));
-    assert_eq!(e.hear(Micros(300), &[], |_| Some(Micros(5))), []);
+    assert_eq!(e.update_verdicts(Micros(300), &[], |_| Some(Micros(5))), []);
 }
 
 /// Guards against a member with a broken way to most nodes that is a second voice against each: it has no answer from these,
@@ -65,16 +72,16 @@
 /// which it never reached.
 #[test]
 fn a_node_that_never_answered_is_no_sick_one_but_one_that_cannot_be_reached() {
-    let what = |o: Opinion| -> Vec<What> {
-        let said = said(&mut Exchange::new("p", &[]), 1_000, o, 10);
-        said.into_iter().map(|(claim, _)| claim.what).collect()
+    let what = |o: Opinion| -> Vec<NodeCondition> {
+        let said = said(&mut VerdictExchange::new("p", &[]), 1_000, o, 10);
+        said.into_iter().map(|(claim, _)| claim.condition).collect()
     };
     let silent = Opinion { silent: 1.0, ..opinion(0.0, 900, 0) };
     let refused = Opinion { unreachable: true, ..opinion(0.8, 900, 0) };
     for (o, answered, never) in [
-        (opinion(0.8, 900, 0), vec![What::Sick], vec![What::Unreachable]),
-        (silent, vec![What::Silent], vec![]),
-        (refused, vec![What::Unreachable], vec![What::Unreachable]),
+        (opinion(0.8, 900, 0), vec![NodeCondition::Sick], vec![NodeCondition::Unreachable]),
+        (silent, vec![NodeCondition::Silent], vec![]),
+        (refused, vec![NodeCondition::Unreachable], vec![NodeCondition::Unreachable]),
     ] {
         assert_eq!(what(o), answered, "{o:?}");
         assert_eq!(what(Opinion { answered: false, ..o }), never, "{o:?}");
@@ -93,14 +100,14 @@
         ..opinion(0.0, 900, ok_at)
     };
     let names: Vec<String> = (0..NODES).map(|n| format!("n{n}")).collect();
-    let say = |e: &mut Exchange, now: i64, opinions: &[Opinion]| {
+    let say = |e: &mut VerdictExchange, now: i64, opinions: &[Opinion]| {
         let findings = findings(NODES as usize, opinions);
-        let said = e.speak(Micros(now), &findings, AGE, |id| &names[id.0 as usize]);
+        let said = e.collect_claims(Micros(now), &findings, AGE, |id| &names[id.0 as usize]);
         said.len()
     };
     // Two ejected, three more that have failed all that they got since they answered last.
     let doubted: Vec<Opinion> = (0..5).map(|n| of(n, 0.6, n < 2, 100)).collect();
-    let mut e = Exchange::new("p", &[]);
+    let mut e = VerdictExchange::new("p", &[]);
     assert_eq!(say(&mut e, 1_000, &doubted), 0);
     // One of them answers: four of nine are no fault of this member's.
     let mut answered = doubted.clone();
