--- a/crates/config/src/file/check.rs
+++ b/crates/config/src/file/check.rs
@@ -360,16 +360,16 @@
                 _ => {}
             }
             let group = match c.key_scope.unwrap_or(KeyScope::Cell) {
-                KeyScope::Cell => Group::Cell,
-                KeyScope::Zone => Group::Zone,
-                KeyScope::All => Group::All,
+                KeyScope::Cell => DedupScope::Cell,
+                KeyScope::Zone => DedupScope::Zone,
+                KeyScope::All => DedupScope::All,
             };
             facts.push(Class {
                 aim: micros(aim),
                 deadline: micros(deadline),
                 effect: match c.repeat {
                     Repeat::Safe => Effect::Safe,
-                    Repeat::Keyed => Effect::Keyed { group, window: micros(window) },
+                    Repeat::Keyed => Effect::Keyed { scope: group, window: micros(window) },
                     Repeat::Never => Effect::Unsafe,
                 },
                 worth: self.number(&key.key("worth"), c.worth, 1.0, f64::MIN_POSITIVE, 1e9),
@@ -449,11 +449,11 @@
     ) -> Site {
         let base = Settings::default();
         let (mut zones, mut kinds) = (Vec::new(), Vec::new());
-        let zone = dense(&mut zones, p.zone.as_deref().unwrap_or(""));
+        let zone = dense_index(&mut zones, p.zone.as_deref().unwrap_or(""));
         let mut classes = facts.to_vec();
         for (class, raw) in classes.iter_mut().zip(f.classes.values()) {
-            class.only_zones = raw.zones.iter().map(|z| dense(&mut zones, z)).collect();
-            class.only_kinds = raw.kinds.iter().map(|k| dense(&mut kinds, k)).collect();
+            class.only_zones = raw.zones.iter().map(|z| dense_index(&mut zones, z)).collect();
+            class.only_kinds = raw.kinds.iter().map(|k| dense_index(&mut kinds, k)).collect();
         }
         let instances = p.instances.unwrap_or(1);
         let me = p.instance.unwrap_or(0);
@@ -473,7 +473,7 @@
         let tenant_quota = f.tenants.values().map(|t| t.quota.unwrap_or(f64::INFINITY)).collect();
         let settings = Settings {
             instances: instances.max(1),
-            me,
+            instance_index: me,
             resolution: Micros(0),
             idle_close: micros(idle),
             crossing_price: self.number(&key.key("crossing_price"), p.crossing_price, 0.0, 0.0, 1.0),
@@ -481,9 +481,9 @@
             classes,
             tenant_quota,
             over_share_worth: self.number(&key.key("over_quota_worth"), p.over_quota_worth, 1.0, 0.0, 1.0),
-            must_ask: p.discovery.is_some(),
-            units_tell_size: p.weighted.unwrap_or(false),
-            parallel_tries: p.hedging.unwrap_or(true),
+            watch_on_request: p.discovery.is_some(),
+            weight_by_units: p.weighted.unwrap_or(false),
+            parallel_attempts: p.hedging.unwrap_or(true),
             may_cancel: p.cancel.unwrap_or(true),
             max_attempts: attempts,
             retry_after: !retry_after.is_zero(),
@@ -520,11 +520,11 @@
                 kind: n.kind.clone(),
                 cell: n.cell.unwrap_or(0),
                 state: match n.state.unwrap_or(NodeState::Ready) {
-                    NodeState::Ready => Listed::Ready,
-                    NodeState::Draining => Listed::Draining,
+                    NodeState::Ready => ListedState::Ready,
+                    NodeState::Draining => ListedState::Draining,
                 },
                 units: self.number(&key.key("weight"), n.weight, 1.0, 1e-6, 1e6),
-                since: None,
+                started_at: None,
             };
             all.push((listing, Some(address)));
         }
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::file::Operator;
 use crate::platform::Config;
-use garnettally_model::{Micros, TOLD_AFTER};
+use garnettally_model::{Micros, NOTIFIED_AFTER};
 use std::time::Duration;
 
 /// The limits of one process.
@@ -230,12 +230,12 @@
 
 const DISCOVERY_CONNECT: Duration = Duration::from_secs(1);
 
-/// When silence ends a watch. What a silent watch misses counts as told [`TOLD_AFTER`] since it fell silent, and binds once the
+/// When silence ends a watch. What a silent watch misses counts as told [`NOTIFIED_AFTER`] since it fell silent, and binds once the
 /// grace is over. By then there has to be time for a new call, for one whose connection never comes up before it,
 /// the module's pauses before both (0.5 s each at the most), and for 1 s until the answer.
 fn discovery_silence(grace: Duration) -> Duration {
     const PAUSES_AND_ANSWER: Duration = Duration::from_secs(2);
-    let left = TOLD_AFTER + grace - PAUSES_AND_ANSWER - DISCOVERY_CONNECT;
+    let left = NOTIFIED_AFTER + grace - PAUSES_AND_ANSWER - DISCOVERY_CONNECT;
     // Never so soon that an empty line which is a little late passes for silence.
     left.clamp(Duration::from_millis(2500), Duration::from_millis(4500))
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -135,7 +135,7 @@
         let mut zones: Vec<String> = f.azs.iter().map(|z| z.to_string()).collect();
         let mut kinds: Vec<String> = f.kinds.iter().map(|k| k.to_string()).collect();
         let ids = |names: &Option<Vec<Cow<'_, str>>>, known: &mut Vec<String>| {
-            names.iter().flatten().map(|n| dense(known, n)).collect()
+            names.iter().flatten().map(|n| dense_index(known, n)).collect()
         };
         let classes = f.grades.iter().map(|g| Class {
             aim: Micros(g.slo_us),
@@ -152,29 +152,29 @@
         let settings = Settings {
             instances: f.n_instances,
             tier: f.tier,
-            me: f.me,
+            instance_index: f.me,
             resolution: f.resolution_us.map_or(base.resolution, Micros),
             idle_close: f.limits.idle_close_us.map_or(base.idle_close, Micros),
             crossing_price: f.tariffs.cross_zone.unwrap_or(0.0),
-            zone: dense(&mut zones, &f.az),
+            zone: dense_index(&mut zones, &f.az),
             classes,
             tenant_quota: f.realms.iter().map(|r| r.quota_rps.unwrap_or(f64::INFINITY)).collect(),
             over_share_worth: f.over_share_worth.unwrap_or(1.0),
             worth_by_work: f.worth_by == "work",
-            must_ask: f.registry_mode == "on_request",
-            ask_within: f.contract.ask_within_us.map_or(base.ask_within, Micros),
+            watch_on_request: f.registry_mode == "on_request",
+            watch_request_within: f.contract.ask_within_us.map_or(base.watch_request_within, Micros),
             list_lease: None,
-            units_tell_size: f.weight_kind != "none",
-            parallel_tries: f.limits.parallel_tries,
+            weight_by_units: f.weight_kind != "none",
+            parallel_attempts: f.limits.parallel_tries,
             may_cancel: f.limits.may_cancel,
             max_attempts: f.limits.send_cap.unwrap_or(base.max_attempts),
             retry_after: f.limits.retry_after,
             max_retry_after: f.limits.max_retry_after_us.map_or(base.max_retry_after, Micros),
             cold_share: f.contract.cold_share.unwrap_or(base.cold_share),
             ramp_time: f.contract.ramp_time_us.map_or(base.ramp_time, Micros),
-            tip_after: f.contract.tip_after_us.map_or(base.tip_after, Micros),
-            key_rest: f.contract.key_rest_us.map_or(base.key_rest, Micros),
-            drain_binds_alone: f.contract.drain_binds_alone.unwrap_or(false),
+            cold_overload_window: f.contract.tip_after_us.map_or(base.cold_overload_window, Micros),
+            key_pause: f.contract.key_rest_us.map_or(base.key_pause, Micros),
+            removal_is_advisory: f.contract.drain_binds_alone.unwrap_or(false),
         };
         let classes = f.grades.iter().map(|g| g.name.to_string()).collect();
         let tenants = f.realms.iter().map(|r| r.name.to_string()).collect();
@@ -276,15 +276,15 @@
     let mut hosts = Vec::with_capacity(raw.hosts.len());
     for (i, h) in raw.hosts.into_iter().enumerate() {
         let state = match &*h.health {
-            "SERVING" => Listed::Ready,
-            "DRAINING" => Listed::Draining,
-            "DELETED" => Listed::Gone,
+            "SERVING" => ListedState::Ready,
+            "DRAINING" => ListedState::Draining,
+            "DELETED" => ListedState::Removed,
             other => return Err(format!("hosts[{i}].health: unknown state {other:?}")),
         };
         let dial = h.dial.as_deref().map(str::parse::<SocketAddr>);
         let dial = match (dial, state) {
             (Some(Ok(addr)), _) => Some(addr),
-            (_, Listed::Gone) => None,
+            (_, ListedState::Removed) => None,
             _ => return Err(format!("hosts[{i}].dial: not an address with a port")),
         };
         let listing = Listing {
@@ -294,7 +294,7 @@
             cell: h.block.unwrap_or(0),
             state,
             units: h.share.unwrap_or(1.0),
-            since: h.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
+            started_at: h.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
         };
         hosts.push((listing, dial));
     }
@@ -384,10 +384,10 @@
         let seed = u64::from_str_radix(&raw.seed, 16);
         let mut site = raw.settings.site().map_err(|e| format!("{path}: {e}"))?;
         site.settings.list_lease = Some(list_lease(&raw.settings));
-        if !site.settings.must_ask {
+        if !site.settings.watch_on_request {
             // On sockets a list is pushed by a watch, too, and what its agent has counts as told at once: the watch
             // is asked for at the start and, when it ends, again without a pause.
-            (site.settings.must_ask, site.settings.ask_within) = (true, Micros(0));
+            (site.settings.watch_on_request, site.settings.watch_request_within) = (true, Micros(0));
         }
         if raw.settings.grades.is_empty() {
             return Err(format!("{path}: settings.Grades: must name at least one class"));
@@ -438,7 +438,7 @@
     const HELD_UP: Micros = Micros(150_000);
     let grace = Micros(settings.contract.drain_grace_us.unwrap_or(0));
     let connecting = Micros(settings.limits.dial_timeout_us.unwrap_or(0));
-    let told_after = Micros(TOLD_AFTER.as_micros() as i64);
+    let told_after = Micros(NOTIFIED_AFTER.as_micros() as i64);
     told_after + (grace - HELD_UP - connecting).min(Micros(0))
 }
 
@@ -456,10 +456,10 @@
     match &*g.semantics {
         "safe" => Effect::Safe,
         "keyed" => Effect::Keyed {
-            group: match g.key_scope.as_deref() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                _ => Group::Cell,
+            scope: match g.key_scope.as_deref() {
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Cell,
             },
             window: Micros(g.window_us.unwrap_or(0)),
         },
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -45,7 +45,7 @@
     assert_eq!(pool.site.settings.max_attempts, 4);
     assert_eq!(pool.site.settings.resolution.0, 0, "no request waits for a grid");
     let settings = &o.pools.iter().find(|p| p.name == "orders-blue").unwrap().site.settings;
-    assert_eq!((settings.max_attempts, settings.retry_after, settings.parallel_tries), (3, true, true));
+    assert_eq!((settings.max_attempts, settings.retry_after, settings.parallel_attempts), (3, true, true));
 }
 
 #[test]
--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -132,7 +132,7 @@
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.over) else { return };
         let harmless = match self.set.classes[r.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
             _ => r.attempts.iter().all(|a| !a.may_have_run),
         };
         // A client told only now that its aim has passed has nothing to gain by a quick repeat.
--- a/crates/decisions/src/balancer/concurrency_limit.rs
+++ b/crates/decisions/src/balancer/concurrency_limit.rs
@@ -41,8 +41,8 @@
     pub(super) fn scale_limit(&mut self) {
         let before: Vec<f64> = self.pools.iter_mut().map(|p| std::mem::take(&mut p.carry)).collect();
         for s in self.ring.iter().map(|&(_, i)| &self.servers[i as usize]) {
-            if s.marks.first().is_none_or(|m| m.ejected_until.is_none()) {
-                self.pools[s.pool].carry += s.started.map_or(1.0, |t| self.warmth(t));
+            if s.health.first().is_none_or(|m| m.ejected_until.is_none()) {
+                self.pools[s.pool].carry += s.started_at.map_or(1.0, |t| self.warmth(t));
             }
         }
         for (p, before) in self.pools.iter_mut().zip(before) {
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -27,7 +27,7 @@
 use board::{weights, SLOT};
 use concurrency_limit::{CROWDED, LIMIT_CHANCE, LIMIT_FIRST, STRETCH_MEAN};
 use list_freshness::NEVER;
-pub use outlier_ejection::BAD_EJECT;
+pub use outlier_ejection::EJECT_SCORE;
 use outlier_ejection::{marks_of, BAD_MEAN, DELAY_FREE, OVERDUE};
 use period::PERIOD_MEAN;
 use pricing::{CALL_MEAN, FIRST_PRICE};
@@ -104,14 +104,14 @@
         }
         match event {
             Event::List { form, entries } => self.news(form, entries),
-            Event::Unwatched { since, failure } => self.unwatched(since, failure),
-            Event::DiscoveryAnswers => self.subscription.iter_mut().for_each(|s| s.answering()),
+            Event::WatchFailed { complete_until: since, failure } => self.unwatched(since, failure),
+            Event::DiscoveryAnswerStarted => self.subscription.iter_mut().for_each(|s| s.answering()),
             Event::DiscoveryMoved => self.subscription.iter_mut().for_each(|s| s.moved(self.now)),
             Event::WallClock { ahead } => self.wall_ahead = ahead,
             Event::Request(new) => self.admit(new, actions),
             Event::Outcome(outcome) => self.outcome(outcome, actions),
-            Event::Gone(id) => self.over(id, actions),
-            Event::Hearsay(heard) => self.hear(heard, actions),
+            Event::ClientLeft(id) => self.over(id, actions),
+            Event::PeerVerdict(heard) => self.hear(heard, actions),
             Event::Timer(_) => self.overdue(actions),
         }
         let ask = self.subscription.as_mut().is_some_and(|s| s.poll(self.now));
@@ -136,8 +136,8 @@
     }
 
     /// So many instances share the servers from now on, and this is which of them this one is.
-    pub fn share(&mut self, instances: u32, me: u32) {
-        (self.set.instances, self.set.me, self.stale) = (instances, me, true);
+    pub fn set_instances(&mut self, instances: u32, me: u32) {
+        (self.set.instances, self.set.instance_index, self.stale) = (instances, me, true);
         self.subscription.iter_mut().for_each(|s| s.set_instances(instances));
     }
 
--- a/crates/decisions/src/balancer/outcome.rs
+++ b/crates/decisions/src/balancer/outcome.rs
@@ -11,11 +11,11 @@
         let (server, class, price) = (a.server, r.class, r.price);
         let unsure = matches!(o.code, Code::Timeout | Code::Reset | Code::Cancelled);
         if let Some(turn) = r.key.filter(|_| unsure).and_then(|k| self.turns.get_mut(&k)) {
-            turn.rest = self.now + self.set.key_rest;
+            turn.rest = self.now + self.set.key_pause;
             actions.push(Action::Timer { at: turn.rest, token: TICK + 1 });
         }
         // What this process was held up by tells of nobody else.
-        let o = Outcome { latency: o.latency - o.held_up, ..o };
+        let o = Outcome { latency: o.latency - o.local_delay, ..o };
         let expected = self.line.at(price).max(1.0);
         let sides = [class, r.tenant];
         let fault = self.requests.get(&o.id).map_or(0.0, |r| self.fault(r));
@@ -27,7 +27,7 @@
             }
         }
         self.judge(server, class, expected, 1.0 - fault, &o);
-        if o.terminal {
+        if o.is_final {
             self.over(o.id, actions);
         }
         let idle = self.requests.get(&o.id).filter(|r| r.attempts.iter().all(|a| !a.out));
--- a/crates/decisions/src/balancer/outlier_ejection.rs
+++ b/crates/decisions/src/balancer/outlier_ejection.rs
@@ -4,7 +4,7 @@
 
 pub(super) const OVERDUE: f64 = 8.0; // multiple of the expected time: 1 in 3,000 of exponential times
 pub(super) const BAD_MEAN: f64 = 0.3; // least weight of one outcome in the outlier score
-pub const BAD_EJECT: f64 = 0.4; // the score that ejects, above twice the peers' own
+pub const EJECT_SCORE: f64 = 0.4; // the score that ejects, above twice the peers' own
 const BAD_WELL: f64 = 0.1; // the score under which a server is well again
 const SLOW_FROM: f64 = 4.0; // an answer is bad from this multiple of its expected time: 1 in 50
 const SLOW_OVER: f64 = 8.0; // and wholly bad so many multiples later
@@ -30,7 +30,7 @@
     /// Not ejected, as a whole or for the class; or due for a single trial, by what is safe to repeat, or,
     /// where none such has come for as long again, by anything: it must come back too.
     pub(super) fn eligible(&self, s: &Server, class: usize) -> bool {
-        let keys = [s.marks.first(), s.marks.get(class + 1)];
+        let keys = [s.health.first(), s.health.get(class + 1)];
         keys.into_iter().flatten().all(|m| match m.ejected_until {
             None => true,
             Some(until) => {
@@ -65,7 +65,7 @@
         if !matches!(o.code, Code::ConnectFailed | Code::Moot | Code::Reset) {
             (s.idle, s.idle_since) = (s.idle + 1, now);
         }
-        if let Some(held) = o.load.and_then(|l| l.held) {
+        if let Some(held) = o.load.and_then(|l| l.in_flight) {
             s.held = Some((held, now));
             self.st.held += CALL_MEAN * (held - self.st.held);
         }
@@ -88,8 +88,8 @@
         }
         s.last_ok = if answered_well { now } else { s.last_ok };
         if bad > 0.0 {
-            let (latency, held_up, expected) = (o.latency, o.held_up, Micros(expected as i64));
-            s.last_bad = Some(BadOutcome { code: Some(o.code), latency, held_up, expected });
+            let (latency, held_up, expected) = (o.latency, o.local_delay, Micros(expected as i64));
+            s.last_bad = Some(BadOutcome { code: Some(o.code), latency, local_delay: held_up, expected });
         }
         score(s, class, bad, now);
         // Called gone, it answers: the list is wrong. Or nobody is there.
@@ -97,9 +97,13 @@
             (s.doubted, self.stale) = (false, true);
         } else if s.doubted && o.code == Code::ConnectFailed {
             let out = now + doubled(first, EJECT_DOUBLINGS);
-            let struck =
-                Mark { bad: 1.0, ejected_until: Some(out), strikes: EJECT_DOUBLINGS, ..Mark::default() };
-            s.marks[0] = Mark { own: true, ..struck };
+            let struck = HealthRecord {
+                bad: 1.0,
+                ejected_until: Some(out),
+                strikes: EJECT_DOUBLINGS,
+                ..HealthRecord::default()
+            };
+            s.health[0] = HealthRecord { by_own_score: true, ..struck };
         }
         for m in marks_of(s, class) {
             let was = m.ejected_until.is_some();
@@ -142,7 +146,7 @@
             for overdue in &told {
                 score(s, overdue.class, 1.0, now);
                 let (latency, expected) = (overdue.out, overdue.expected);
-                s.last_bad = Some(BadOutcome { code: None, latency, held_up: Micros(0), expected });
+                s.last_bad = Some(BadOutcome { code: None, latency, local_delay: Micros(0), expected });
             }
             silent.extend(told);
         }
@@ -166,16 +170,16 @@
     pub(super) fn eject(&mut self, actions: &mut Vec<Action>) {
         let members = self.members.iter().map(|&i| &self.servers[i as usize]);
         let (mut n, mut ejected, mut sum, mut hot) = (0, 0, Vec::new(), Vec::new());
-        for s in members.filter(|s| s.news.state == Listed::Ready) {
+        for s in members.filter(|s| s.entry.state == ListedState::Ready) {
             n += 1;
-            sum.resize(sum.len().max(s.marks.len()), 0.0);
-            ejected += usize::from(s.marks.iter().any(|m| m.ejected_until.is_some()));
-            for (key, m) in s.marks.iter().enumerate() {
+            sum.resize(sum.len().max(s.health.len()), 0.0);
+            ejected += usize::from(s.health.iter().any(|m| m.ejected_until.is_some()));
+            for (key, m) in s.health.iter().enumerate() {
                 // Own fresh experience goes before hearsay.
                 let bad = if m.heard_at > s.last_ok { m.bad.max(m.heard) } else { m.bad };
                 sum[key] += bad;
-                if m.ejected_until.is_none() && bad >= BAD_EJECT {
-                    hot.push((bad, s.news.server.0 as usize, key, doubled(self.back_off(), m.strikes)));
+                if m.ejected_until.is_none() && bad >= EJECT_SCORE {
+                    hot.push((bad, s.entry.server.0 as usize, key, doubled(self.back_off(), m.strikes)));
                 }
             }
         }
@@ -183,20 +187,20 @@
         for (bad, server, key, wait) in hot {
             let peers = (sum[key] - bad) / (n - 1).max(1) as f64;
             // One out for a class already takes no more of the share: among few it would stay.
-            let more = self.servers[server].marks.iter().all(|m| m.ejected_until.is_none());
+            let more = self.servers[server].health.iter().all(|m| m.ejected_until.is_none());
             let full = more && ejected >= (n / EJECT_SHARE).max(1);
-            if n < 2 || full || bad < BAD_EJECT + 2.0 * peers {
+            if n < 2 || full || bad < EJECT_SCORE + 2.0 * peers {
                 continue;
             }
             let last_bad = self.servers[server].last_bad;
-            let m = &mut self.servers[server].marks[key];
+            let m = &mut self.servers[server].health[key];
             (m.ejected_until, m.strikes) = (Some(self.now + wait), m.strikes + 1);
-            m.own = m.bad >= BAD_EJECT;
+            m.by_own_score = m.bad >= EJECT_SCORE;
             ejected += usize::from(more);
             self.stale = true;
             if m.strikes == 1 {
                 let what = if key == 0 { String::new() } else { format!(" for class {}", key - 1) };
-                let last = match last_bad.filter(|_| m.own) {
+                let last = match last_bad.filter(|_| m.by_own_score) {
                     Some(last) => format!(": {last}"),
                     None => ", by others' word".to_string(),
                 };
@@ -208,16 +212,16 @@
 
     /// What others found counts like an own score, under the same cap. A few of those that found it try the
     /// server for all; with their word that it is well, or when it grows old, it is back without a trial.
-    pub(super) fn hear(&mut self, h: Hearsay, actions: &mut Vec<Action>) {
+    pub(super) fn hear(&mut self, h: PeerVerdict, actions: &mut Vec<Action>) {
         let key = h.class.map_or(0, |c| c.0 as usize + 1);
         let Some(s) = self.servers.get_mut(h.server.0 as usize) else { return };
-        s.marks.resize(s.marks.len().max(key + 1), Mark::default());
-        let m = &mut s.marks[key];
-        if h.bad == 0.0 && m.heard > 0.0 && !m.tries {
+        s.health.resize(s.health.len().max(key + 1), HealthRecord::default());
+        let m = &mut s.health[key];
+        if h.severity == 0.0 && m.heard > 0.0 && !m.tries {
             (m.bad, m.ejected_until, m.trial) = (0.0, None, false);
             self.stale = true;
         }
-        (m.heard, m.heard_at, m.tries) = (h.bad, h.at, h.tries);
+        (m.heard, m.heard_at, m.tries) = (h.severity, h.found_at, h.probes_here);
         self.eject(actions);
     }
 }
@@ -228,24 +232,24 @@
 }
 
 /// The marks that a call of the class speaks to.
-pub(super) fn marks_of(s: &mut Server, class: usize) -> impl Iterator<Item = &mut Mark> {
-    s.marks.iter_mut().enumerate().filter(move |(key, _)| *key == 0 || *key == class + 1).map(|(_, m)| m)
+pub(super) fn marks_of(s: &mut Server, class: usize) -> impl Iterator<Item = &mut HealthRecord> {
+    s.health.iter_mut().enumerate().filter(move |(key, _)| *key == 0 || *key == class + 1).map(|(_, m)| m)
 }
 
 /// Books an outcome on the outlier scores. The rarer a server's outcomes, the more each one says.
 fn score(s: &mut Server, class: usize, bad: f64, now: Micros) {
-    if s.marks.is_empty() && bad == 0.0 {
+    if s.health.is_empty() && bad == 0.0 {
         s.last_end = now;
         return;
     }
-    if s.marks.len() < class + 2 {
-        s.marks.resize(class + 2, Mark::default());
+    if s.health.len() < class + 2 {
+        s.health.resize(class + 2, HealthRecord::default());
     }
     let k = Balancer::signal_weight(now - s.last_end).max(BAD_MEAN);
     s.last_end = now;
-    let known = if bad > 0.0 { s.marks[class + 1].bad } else { 0.0 };
+    let known = if bad > 0.0 { s.health[class + 1].bad } else { 0.0 };
     for (key, part) in [(0, 1.0 - known), (class + 1, 1.0)] {
-        let m = &mut s.marks[key];
+        let m = &mut s.health[key];
         m.bad += k * part * (bad - m.bad);
         if m.bad < BAD_WELL && m.ejected_until.is_none() && bad == 0.0 {
             m.strikes = m.strikes.saturating_sub(1);
@@ -253,7 +257,7 @@
     }
 }
 
-impl Mark {
+impl HealthRecord {
     /// How a trial went: one success halves the score, and a server well again is let back in.
     pub(super) fn tried(&mut self, now: Micros, first: Micros, well: bool) {
         self.trial = false;
--- a/crates/decisions/src/balancer/pricing.rs
+++ b/crates/decisions/src/balancer/pricing.rs
@@ -56,8 +56,8 @@
     /// what it reports to hold. Bounded, since a wrong price should cost balance, not a server.
     pub(super) fn slowness(&self, s: &Server) -> f64 {
         let pool = &self.pools[s.pool];
-        let tell_size = self.set.units_tell_size && s.news.units > 0.0;
-        let size = if tell_size { pool.ratio * pool.units / s.news.units } else { pool.ratio };
+        let tell_size = self.set.weight_by_units && s.entry.units > 0.0;
+        let size = if tell_size { pool.ratio * pool.units / s.entry.units } else { pool.ratio };
         let crowd = s.held.map_or(1.0, |(h, at)| {
             let fresh = (1.0 - (self.now - at).0 as f64 / REPORT_LASTS).max(0.0);
             1.0 + fresh * ((1.0 + h) / (1.0 + self.st.held) - 1.0)
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -15,7 +15,7 @@
             self.subset();
         }
         let Some(r) = self.requests.get(&id) else { return Pick::Nobody };
-        let two = !self.set.parallel_tries && r.attempts.iter().any(|a| a.out);
+        let two = !self.set.parallel_attempts && r.attempts.iter().any(|a| a.out);
         if two || r.expires <= self.now || r.attempts.len() >= self.set.max_attempts as usize {
             return Pick::Nobody;
         }
@@ -32,13 +32,15 @@
         }
         // Rule 2: what may have run, or may run yet, binds later sends.
         let effect = self.set.classes[r.class].effect;
-        let mut bound: Option<(Group, &ServerNews)> = None;
+        let mut bound: Option<(DedupScope, &ServerEntry)> = None;
         for a in r.attempts.iter().filter(|a| a.may_have_run) {
             match effect {
                 Effect::Safe => {}
                 Effect::Unsafe => return Pick::Nobody,
                 Effect::Keyed { window, .. } if self.now - a.sent >= window => return Pick::Nobody,
-                Effect::Keyed { group, .. } => bound = Some((group, &self.servers[a.server.0 as usize].news)),
+                Effect::Keyed { scope: group, .. } => {
+                    bound = Some((group, &self.servers[a.server.0 as usize].entry))
+                }
             }
         }
         // Room under the limit, less for what is past a tenant's share, repeated by a client, or struck.
@@ -55,23 +57,25 @@
         let idle = self.members.iter().filter(|&&i| self.open(&self.servers[i as usize])).count();
         for s in self.members.iter().map(|&i| &self.servers[i as usize]) {
             let same = match bound {
-                Some((Group::Zone, n)) => n.zone == s.news.zone,
-                Some((Group::Cell, n)) => n.zone == s.news.zone && n.cell == s.news.cell,
+                Some((DedupScope::Zone, n)) => n.zone == s.entry.zone,
+                Some((DedupScope::Cell, n)) => n.zone == s.entry.zone && n.cell == s.entry.cell,
                 _ => true,
             };
             // Rule 5 binds every attempt.
-            if s.news.state != Listed::Ready || !same || !allowed(&self.set.classes[r.class], &s.news) {
+            if s.entry.state != ListedState::Ready || !same || !allowed(&self.set.classes[r.class], &s.entry)
+            {
                 continue;
             }
             let rank = match self.eligible(s, r.class) && self.trusted(s) {
                 // it turned one away, and may be leaving
                 false if s.proven == NEVER && !self.is_watched() => 3,
                 false => 2, // panic: nobody healthy, or none that is likely to stay, is left
-                true if r.attempts.iter().any(|a| a.server == s.news.server) => 1,
+                true if r.attempts.iter().any(|a| a.server == s.entry.server) => 1,
                 true => 0,
             };
             if !room(&self.pools[s.pool])
-                || (s.started.is_some_and(cold) && s.bucket < (r.price - self.st.cr / self.st.gain).max(0.0))
+                || (s.started_at.is_some_and(cold)
+                    && s.bucket < (r.price - self.st.cr / self.st.gain).max(0.0))
             {
                 waits |= rank < 2;
                 continue;
@@ -81,12 +85,12 @@
             // Join an idle connection: its server has answered, and no own call waits there. Boards of
             // own sends tell no more of a server than that. Harm: who errs at once looks idle. A cold one
             // has its bucket, and is free: charged, new servers were met by few or none of all callers.
-            let away = if s.news.zone == self.set.zone { 0.0 } else { CROSSING * self.set.crossing_price };
-            let few = idle < OPEN_LEAST || (s.flights.is_empty() && s.started.is_some_and(cold));
+            let away = if s.entry.zone == self.set.zone { 0.0 } else { CROSSING * self.set.crossing_price };
+            let few = idle < OPEN_LEAST || (s.flights.is_empty() && s.started_at.is_some_and(cold));
             let extra = if self.open(s) || (few && !s.shut) { away } else { away + NEW_CONN };
             let net = s.weight - own / self.st.cr - self.st.dec * extra;
             if best[rank].is_none_or(|(w, _): (f64, ServerId)| net > w) {
-                best[rank] = Some((net, s.news.server));
+                best[rank] = Some((net, s.entry.server));
             }
         }
         match best.iter().flatten().next() {
@@ -134,7 +138,7 @@
 }
 
 /// Rule 5: whether a class may go to a server.
-pub(super) fn allowed(class: &Class, news: &ServerNews) -> bool {
+pub(super) fn allowed(class: &Class, news: &ServerEntry) -> bool {
     let open = |only: &[u32], to: u32| only.is_empty() || only.contains(&to);
     open(&class.only_kinds, news.kind) && open(&class.only_zones, news.zone)
 }
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -19,10 +19,10 @@
     pub(super) fn slow_start(&mut self, ended: f64) {
         let rate = COLD_PART * self.st.raw / self.members.len().max(1) as f64;
         let unit = self.st.cr / self.st.gain;
-        let window = self.set.tip_after.0 as f64 / PERIOD.0 as f64;
+        let window = self.set.cold_overload_window.0 as f64 / PERIOD.0 as f64;
         for at in 0..self.members.len() {
             let i = self.members[at] as usize;
-            let Some(since) = self.servers[i].started else { continue };
+            let Some(since) = self.servers[i].started_at else { continue };
             let fill = self.warmth(since) * rate;
             let s = &mut self.servers[i];
             s.bucket = (s.bucket + fill * ended).min((fill * window).max(unit));
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -1,23 +1,24 @@
 //! The module in blocking style: ask it to [`pick`](Decisions::pick), [`report`](Decisions::report) what
 //! came of it, and [`tick`](Decisions::tick) when it is due. Network code sees these types alone.
 
-use crate::balancer::{Balancer, BAD_EJECT};
-use crate::state::{Flight, Mark};
+use crate::balancer::{Balancer, EJECT_SCORE};
+use crate::state::{Flight, HealthRecord};
 use garnettally_model::{
-    Action, Event, Findings, Form, Hearsay, HostList, Load, Names, NewRequest, Opinion, Outcome, Site,
+    Action, Event, HostList, ListForm, LoadReport, LocalObservations, Names, NewRequest, Outcome,
+    PeerVerdict, ServerObservation, Site,
 };
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
 pub use garnettally_model::{
-    CallFailure, ClassId, Code, Effect, KeyId, Listed, Micros, RequestId, ServerId, TenantId,
+    CallFailure, ClassId, Code, Effect, KeyId, ListedState, Micros, RequestId, ServerId, TenantId,
 };
 pub use garnettally_subscription::{ListReport, ListStanding};
 
 /// A request that wants an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct PickRequest {
     /// A number of the caller's choosing, never used again.
     pub request: RequestId,
     /// Its class.
@@ -47,29 +48,29 @@
         /// How long after it was sent.
         latency: Duration,
         /// For how much of that this process did not look at its sockets.
-        held_up: Duration,
+        local_delay: Duration,
         /// The requests that its upstream says to hold.
-        held: Option<f64>,
+        upstream_in_flight: Option<f64>,
         /// The request has had its answer.
         answered: bool,
     },
     /// The client has gone away.
-    Gone(RequestId),
+    ClientLeft(RequestId),
     /// The list that the balancer was started with, which may be old.
-    Known(HostList),
+    InitialList(HostList),
     /// News of the upstreams.
-    Hosts(HostList),
+    List(HostList),
     /// What other instances have found out about an upstream.
-    Heard(Hearsay),
+    PeerVerdict(PeerVerdict),
     /// The watch that was asked for could not be had, or has ended.
     WatchFailed {
         /// Where a watch was open: how long before this it had last told, in whole, of all changes.
-        silent: Duration,
+        incomplete_for: Duration,
         /// What was seen.
         failure: CallFailure,
     },
     /// The head of discovery's answer has come; the list is still to come.
-    DiscoveryAnswers,
+    DiscoveryAnswerStarted,
     /// Discovery is at another address from now on; the watch on the old one has ended.
     DiscoveryMoved,
     /// The clock that lists date starts by is so far ahead of the times handed in here; below 0: behind.
@@ -112,7 +113,7 @@
     /// Start to watch discovery.
     Watch,
     /// A line for the log.
-    Note(String),
+    Log(String),
 }
 
 /// The decisions of one balancer.
@@ -160,7 +161,7 @@
     }
 
     /// Where a new request goes, and what follows from its coming for others.
-    pub fn pick(&mut self, now: Micros, ask: Ask) -> Vec<Decision> {
+    pub fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         let new = NewRequest {
             id: ask.request,
             class: ask.class,
@@ -186,28 +187,28 @@
     /// Takes in what has become known, and says what follows from it.
     pub fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
         let event = match report {
-            Report::Ended { request, attempt, code, latency, held_up, held, answered } => {
+            Report::Ended { request, attempt, code, latency, local_delay, upstream_in_flight, answered } => {
                 Event::Outcome(Outcome {
                     id: request,
                     attempt,
                     code,
                     latency: Micros(latency.as_micros() as i64),
-                    held_up: Micros(held_up.as_micros() as i64),
-                    terminal: answered,
-                    load: held.map(|held| Load { held: Some(held) }),
+                    local_delay: Micros(local_delay.as_micros() as i64),
+                    is_final: answered,
+                    load: upstream_in_flight.map(|count| LoadReport { in_flight: Some(count) }),
                 })
             }
-            Report::Gone(request) => Event::Gone(request),
-            Report::Heard(heard) => Event::Hearsay(heard),
-            Report::Known(list) => return self.hosts(now, Form::Cached, &list),
-            Report::Hosts(list) => {
-                let form = if list.whole { Form::Full } else { Form::Delta };
+            Report::ClientLeft(request) => Event::ClientLeft(request),
+            Report::PeerVerdict(verdict) => Event::PeerVerdict(verdict),
+            Report::InitialList(list) => return self.hosts(now, ListForm::Cached, &list),
+            Report::List(list) => {
+                let form = if list.whole { ListForm::Full } else { ListForm::Delta };
                 return self.hosts(now, form, &list);
             }
-            Report::WatchFailed { silent, failure } => {
-                Event::Unwatched { since: Micros(now.0 - silent.as_micros() as i64), failure }
+            Report::WatchFailed { incomplete_for: silent, failure } => {
+                Event::WatchFailed { complete_until: Micros(now.0 - silent.as_micros() as i64), failure }
             }
-            Report::DiscoveryAnswers => Event::DiscoveryAnswers,
+            Report::DiscoveryAnswerStarted => Event::DiscoveryAnswerStarted,
             Report::DiscoveryMoved => Event::DiscoveryMoved,
             Report::WallClock { ahead } => Event::WallClock { ahead },
         };
@@ -225,39 +226,39 @@
     }
 
     /// So many instances share the upstreams from now on, and this is the number, from 0, of this one.
-    pub fn share(&mut self, instances: u32, me: u32) {
-        self.balancer.share(instances.max(1), me.min(instances.saturating_sub(1)));
+    pub fn set_instances(&mut self, instances: u32, me: u32) {
+        self.balancer.set_instances(instances.max(1), me.min(instances.saturating_sub(1)));
     }
 
     /// What this instance has found out by its own calls.
-    pub fn findings(&self, now: Micros) -> Findings {
-        Findings { sends_to: self.balancer.sends_to(), opinions: self.opinions(now) }
+    pub fn local_observations(&self, now: Micros) -> LocalObservations {
+        LocalObservations { servers_in_use: self.balancer.sends_to(), servers: self.opinions(now) }
     }
 
     /// What it has found out of those upstreams that it has had doubts about.
-    fn opinions(&self, now: Micros) -> Vec<Opinion> {
+    fn opinions(&self, now: Micros) -> Vec<ServerObservation> {
         let mut all = Vec::new();
-        let no_mark = [Mark::default()];
-        for s in self.balancer.servers().iter().filter(|s| s.news.state == Listed::Ready) {
+        let no_mark = [HealthRecord::default()];
+        for s in self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready) {
             let unanswered = s.flights.iter().filter(|f| s.last_ok <= f.sent);
             let part = |f: &Flight| (now - f.sent).0 as f64 / (f.overdue_at - f.sent).0.max(1) as f64;
             let silent = unanswered.map(part).fold(0.0, f64::max);
-            let marks = if s.marks.is_empty() && silent > 0.0 { &no_mark[..] } else { &s.marks };
+            let marks = if s.health.is_empty() && silent > 0.0 { &no_mark[..] } else { &s.health };
             for (key, m) in marks.iter().enumerate() {
                 // Its score is made of its own calls alone, also where hearsay came first.
-                let own = m.ejected_until.is_some() && (m.own || m.bad >= BAD_EJECT);
-                all.push(Opinion {
-                    server: s.news.server,
-                    since: s.news.since,
+                let own = m.ejected_until.is_some() && (m.by_own_score || m.bad >= EJECT_SCORE);
+                all.push(ServerObservation {
+                    server: s.entry.server,
+                    started_at: s.entry.started_at,
                     class: key.checked_sub(1).map(|c| ClassId(c as u32)),
                     // While it is ejected it is as bad as what it was ejected for, at the least.
-                    bad: if own { m.bad.max(0.5) } else { 0.0 },
-                    score: m.bad,
-                    answered: s.answered,
-                    unreachable: s.shut,
-                    silent: if key == 0 { silent } else { 0.0 },
-                    at: s.last_end,
-                    ok_at: s.last_ok,
+                    severity: if own { m.bad.max(0.5) } else { 0.0 },
+                    outlier_score: m.bad,
+                    has_answered: s.answered,
+                    is_unreachable: s.shut,
+                    overdue_share: if key == 0 { silent } else { 0.0 },
+                    last_ended_at: s.last_end,
+                    last_ok_at: s.last_ok,
                 });
             }
         }
@@ -265,18 +266,18 @@
     }
 
     /// When an upstream last started, as its list says.
-    pub fn started(&self, id: ServerId) -> Option<Micros> {
-        self.balancer.servers().get(id.0 as usize)?.news.since
+    pub fn upstream_started_at(&self, id: ServerId) -> Option<Micros> {
+        self.balancer.servers().get(id.0 as usize)?.entry.started_at
     }
 
     /// How many upstreams were ever met; they are numbered from 0.
-    pub fn met(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.balancer.servers().len()
     }
 
     /// How many upstreams are listed as ready.
-    pub fn ready(&self) -> usize {
-        self.balancer.servers().iter().filter(|s| s.news.state == Listed::Ready).count()
+    pub fn ready_count(&self) -> usize {
+        self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready).count()
     }
 
     /// Lets time pass, if it is due.
@@ -297,8 +298,8 @@
         self.due.peek().map(|at| Micros(at.0))
     }
 
-    fn hosts(&mut self, now: Micros, form: Form, list: &HostList) -> Vec<Decision> {
-        let entries: Vec<_> = list.hosts.iter().map(|(listing, _)| self.names.news(listing)).collect();
+    fn hosts(&mut self, now: Micros, form: ListForm, list: &HostList) -> Vec<Decision> {
+        let entries: Vec<_> = list.hosts.iter().map(|(listing, _)| self.names.register(listing)).collect();
         self.handle(now, Event::List { form, entries: &entries })
     }
 
@@ -318,7 +319,7 @@
                 }
                 Action::Fail { id } => Decision::Fail(id),
                 Action::Watch => Decision::Watch,
-                Action::Log(text) => Decision::Note(text),
+                Action::Log(text) => Decision::Log(text),
                 Action::Timer { at, .. } => {
                     due.push(Reverse(at.0));
                     return None;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -13,8 +13,8 @@
 //! let mut balancer = Balancer::new(settings, 7, Micros(0));
 //!
 //! // Membership arrives as a list; ids are dense integers chosen by the caller.
-//! let entries = [ServerNews { server: ServerId(0), ..ServerNews::default() }];
-//! balancer.handle(Micros(0), Event::List { form: Form::Full, entries: &entries }, &mut out);
+//! let entries = [ServerEntry { server: ServerId(0), ..ServerEntry::default() }];
+//! balancer.handle(Micros(0), Event::List { form: ListForm::Full, entries: &entries }, &mut out);
 //!
 //! // A request is booked and sent ...
 //! out.clear();
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -27,13 +27,13 @@
 
 /// Health of one key: a server, or a server for one class.
 #[derive(Clone, Default)]
-pub struct Mark {
+pub struct HealthRecord {
     pub bad: f64, // The outlier score
     pub ejected_until: Option<Micros>,
     pub strikes: u32,
     pub trial: bool,
-    pub own: bool,  // It was ejected by what was found here
-    pub heard: f64, // What others say of it, since when, and whether this instance tries it for them
+    pub by_own_score: bool, // It was ejected by what was found here
+    pub heard: f64,         // What others say of it, since when, and whether this instance tries it for them
     pub heard_at: Micros,
     pub tries: bool,
 }
@@ -44,7 +44,7 @@
     pub code: Option<Code>,
     pub latency: Micros,
     /// So much of the latency may be this process's own.
-    pub held_up: Micros,
+    pub local_delay: Micros,
     pub expected: Micros,
 }
 
@@ -55,14 +55,14 @@
             Some(code) => write!(f, "{code:?}")?,
             None => write!(f, "no answer")?,
         }
-        let (latency, expected, held_up) = (ms(self.latency), ms(self.expected), ms(self.held_up));
+        let (latency, expected, held_up) = (ms(self.latency), ms(self.expected), ms(self.local_delay));
         write!(f, " after {latency:.1} ms, {expected:.1} expected, {held_up:.1} of them held up here")
     }
 }
 
 #[derive(Default)]
 pub struct Server {
-    pub news: ServerNews,
+    pub entry: ServerEntry,
     pub board: Board,
     pub flights: Vec<Flight>,
     pub weight: f64,
@@ -74,16 +74,16 @@
     pub luck: f64,
     pub ratio: f64,                  // Served time over expected time, a running mean
     pub held: Option<(f64, Micros)>, // What it reported to hold, and when
-    pub marks: Vec<Mark>,            // Health: as a whole, then by class, as far as it was needed
+    pub health: Vec<HealthRecord>,   // Health: as a whole, then by class, as far as it was needed
     pub last_bad: Option<BadOutcome>,
     pub answered: bool, // Something came back from it in its present life
     pub last_ok: Micros,
     pub last_end: Micros,
     pub idle: u32, // Idle connections of this instance, as far as it knows, and when the last one fell idle
     pub idle_since: Micros,
-    pub shut: bool,              // The last try got no connection
-    pub bucket: f64,             // Slow start: work that may still be sent to it while it is cold
-    pub started: Option<Micros>, // When it last started, by this instance's own clock; `None`: long ago
+    pub shut: bool,                 // The last try got no connection
+    pub bucket: f64,                // Slow start: work that may still be sent to it while it is cold
+    pub started_at: Option<Micros>, // When it last started, by this instance's own clock; `None`: long ago
     pub proven: Micros, // Then it was sure not to be leaving: listed, watched, or sent a call that it took
     /// Called gone, or left out, where that does not bind, and nothing was answered since.
     pub doubted: bool,
--- a/crates/decisions/tests/cold_servers.rs
+++ b/crates/decisions/tests/cold_servers.rs
@@ -14,11 +14,11 @@
         let b = Balancer::new(set.clone(), seed, Micros(0));
         let mut t = Bench { b, now: Micros(0), acts: Vec::new() };
         let mut list: Vec<_> = (0..10).map(server).collect();
-        t.tell(Event::List { form: Form::Full, entries: &list });
+        t.tell(Event::List { form: ListForm::Full, entries: &list });
         for step in 0..1_000u64 {
             if step == 500 {
-                list[0].since = Some(t.now);
-                t.tell(Event::List { form: Form::Full, entries: &list });
+                list[0].started_at = Some(t.now);
+                t.tell(Event::List { form: ListForm::Full, entries: &list });
             }
             if step % 4 == 0 {
                 t.tell(Event::Timer(0));
@@ -61,8 +61,8 @@
 fn a_newborn_sends_a_cold_server_nothing_at_once() {
     let b = Balancer::new(settings(Effect::Safe), 3, Micros(0));
     let mut t = Bench { b, now: Micros(0), acts: Vec::new() };
-    let cold = ServerNews { since: Some(Micros(-1)), ..server(0) };
-    t.tell(Event::List { form: Form::Cached, entries: &[cold, server(1)] });
+    let cold = ServerEntry { started_at: Some(Micros(-1)), ..server(0) };
+    t.tell(Event::List { form: ListForm::Cached, entries: &[cold, server(1)] });
     assert!((0..6).all(|id| t.ask(id, 10_000) != Some(0)));
 }
 
@@ -73,7 +73,7 @@
     let set = Settings { ramp_time: Micros(20_000_000), ..settings(Effect::Safe) };
     let mut t = Bench::new(set, 9);
     t.now = Micros(2 * HOUR);
-    t.tell(Event::List { form: Form::Delta, entries: &[] });
+    t.tell(Event::List { form: ListForm::Delta, entries: &[] });
     for id in 0..200 {
         t.ask(id, 10_000);
         t.end(id, 0, Code::Ok, 10_000, None);
@@ -81,7 +81,7 @@
     }
     t.tell(Event::WallClock { ahead: Micros(wall_ahead) });
     let since = Some(t.now + Micros(dated));
-    t.tell(Event::List { form: Form::Delta, entries: &[ServerNews { since, ..server(9) }] });
+    t.tell(Event::List { form: ListForm::Delta, entries: &[ServerEntry { started_at: since, ..server(9) }] });
     let mut sent = 0;
     for id in 1_000..1_400 {
         sent += usize::from(t.ask(id, 10_000) == Some(9));
@@ -112,11 +112,11 @@
     let mut t = Bench::new(settings(Effect::Safe), 2);
     t.now = Micros(100_000_000);
     for since in [90_000_000, 50_000_000, 50_000_000] {
-        let entry = ServerNews { since: Some(Micros(since)), ..server(1) };
-        t.tell(Event::List { form: Form::Delta, entries: &[entry] });
-        assert_eq!(t.b.servers()[1].started, Some(Micros(since)));
+        let entry = ServerEntry { started_at: Some(Micros(since)), ..server(1) };
+        t.tell(Event::List { form: ListForm::Delta, entries: &[entry] });
+        assert_eq!(t.b.servers()[1].started_at, Some(Micros(since)));
     }
     // Nothing is said of its start: it goes on.
-    t.tell(Event::List { form: Form::Delta, entries: &[server(1)] });
-    assert_eq!(t.b.servers()[1].started, Some(Micros(50_000_000)));
+    t.tell(Event::List { form: ListForm::Delta, entries: &[server(1)] });
+    assert_eq!(t.b.servers()[1].started_at, Some(Micros(50_000_000)));
 }
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -131,7 +131,7 @@
             id += 1;
             let to = t.ask(id, 10_000).unwrap();
             let held = if to == 0 { 30.0 } else { 0.0 };
-            let load = report.then_some(Load { held: Some(held) });
+            let load = report.then_some(LoadReport { in_flight: Some(held) });
             t.end(id, 0, Code::Ok, 10_000, load);
             to
         };
@@ -167,9 +167,9 @@
         let mut t = Bench::new(settings(Effect::Safe), 12);
         t.periods(5);
         let mut list: Vec<_> = (0..12).map(server).collect();
-        list.iter_mut().skip(stay as usize).for_each(|s| s.state = Listed::Draining);
-        list.extend((12..12 + cold).map(|id| ServerNews { since: Some(t.now), ..server(id) }));
-        t.tell(Event::List { form: Form::Full, entries: &list });
+        list.iter_mut().skip(stay as usize).for_each(|s| s.state = ListedState::Draining);
+        list.extend((12..12 + cold).map(|id| ServerEntry { started_at: Some(t.now), ..server(id) }));
+        t.tell(Event::List { form: ListForm::Full, entries: &list });
         t.periods(1);
         (0..300).filter(|&id| t.ask(id, 10_000).is_some()).count()
     };
@@ -514,11 +514,11 @@
     t.end(0, 0, Code::Timeout, 998_000, None);
     assert!(refused(&t, 0), "timed out");
     // Its server has left, and it may go nowhere else.
-    let keyed = Effect::Keyed { group: Group::Cell, window: Micros(9_000_000) };
+    let keyed = Effect::Keyed { scope: DedupScope::Cell, window: Micros(9_000_000) };
     let mut t = Bench::new(Settings { max_attempts: 9, ..settings(keyed) }, 2);
     let to = t.ask(1, 10_000).unwrap();
-    let gone = ServerNews { state: Listed::Gone, ..server(to) };
-    t.tell(Event::List { form: Form::Delta, entries: &[gone] });
+    let gone = ServerEntry { state: ListedState::Removed, ..server(to) };
+    t.tell(Event::List { form: ListForm::Delta, entries: &[gone] });
     t.end(1, 0, Code::Error, 1_000, None);
     assert!(t.acts.contains(&Action::Fail { id: RequestId(1) }), "{:?}", t.acts);
 }
--- a/crates/decisions/tests/four_rules.rs
+++ b/crates/decisions/tests/four_rules.rs
@@ -32,7 +32,7 @@
     now: Micros,
     balancer: Balancer,
     /// What discovery said last, and since when the balancer knows a server to be unfit.
-    listed: BTreeMap<u32, (ServerNews, Option<Micros>)>,
+    listed: BTreeMap<u32, (ServerEntry, Option<Micros>)>,
     asked: BTreeMap<u64, Asked>,
     timers: Vec<(Micros, u64)>,
     watch: bool,
@@ -45,9 +45,14 @@
 
 impl World {
     fn new(seed: u64, parallel: bool, must_ask: bool) -> World {
-        let keyed = |group| Effect::Keyed { group, window: Micros(400_000) };
-        let effects =
-            [Effect::Safe, Effect::Unsafe, keyed(Group::All), keyed(Group::Zone), keyed(Group::Cell)];
+        let keyed = |group| Effect::Keyed { scope: group, window: Micros(400_000) };
+        let effects = [
+            Effect::Safe,
+            Effect::Unsafe,
+            keyed(DedupScope::All),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::Cell),
+        ];
         // Bound classes: a kind, a zone, both, and a kind that is never met.
         let only_kinds = [vec![], vec![1], vec![], vec![0, 2], if seed % 8 == 7 { vec![9] } else { vec![] }];
         let only_zones = [vec![], vec![], vec![1], vec![0], vec![]];
@@ -66,12 +71,12 @@
             tenant_quota: vec![3.0, 1e9],
             over_share_worth: 0.1,
             worth_by_work: true,
-            must_ask,
-            parallel_tries: parallel,
+            watch_on_request: must_ask,
+            parallel_attempts: parallel,
             may_cancel: true,
             max_attempts: 3,
-            key_rest: KEY_REST,
-            drain_binds_alone: seed % 5 < 2,
+            key_pause: KEY_REST,
+            removal_is_advisory: seed % 5 < 2,
             ..Settings::default()
         };
         World {
@@ -117,12 +122,12 @@
                 assert!(now < r.expires && r.sends.len() < self.set.max_attempts as usize);
                 let (news, unfit) = self.listed[&server.0];
                 assert!(unfit.is_none(), "rule 3: sent to {news:?}");
-                self.to_gone += u32::from(news.state == Listed::Gone);
+                self.to_gone += u32::from(news.state == ListedState::Removed);
                 let class = &self.set.classes[r.class];
                 assert!(class.only_kinds.is_empty() || class.only_kinds.contains(&news.kind), "rule 5: kind");
                 assert!(class.only_zones.is_empty() || class.only_zones.contains(&news.zone), "rule 5: zone");
                 assert!(
-                    self.set.parallel_tries || r.sends.iter().all(|s| !s.out),
+                    self.set.parallel_attempts || r.sends.iter().all(|s| !s.out),
                     "two at once where that is not allowed"
                 );
                 for s in r.sends.iter().filter(|s| s.may_have_run) {
@@ -130,12 +135,12 @@
                     match self.set.classes[r.class].effect {
                         Effect::Safe => {}
                         Effect::Unsafe => panic!("rule 2: unsafe sent again"),
-                        Effect::Keyed { group, window } => {
+                        Effect::Keyed { scope: group, window } => {
                             assert!(now - s.at <= window, "rule 2: sent past the window");
                             match group {
-                                Group::All => {}
-                                Group::Zone => assert_eq!(first.zone, news.zone, "rule 2: zone"),
-                                Group::Cell => assert_eq!(first.cell, news.cell, "rule 2: cell"),
+                                DedupScope::All => {}
+                                DedupScope::Zone => assert_eq!(first.zone, news.zone, "rule 2: zone"),
+                                DedupScope::Cell => assert_eq!(first.cell, news.cell, "rule 2: cell"),
                             }
                         }
                     }
@@ -158,7 +163,7 @@
                 assert!(now <= r.expires + GRACE, "rule 1: answered late");
                 let free = matches!(
                     self.set.classes[r.class].effect,
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. }
+                    Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. }
                 );
                 assert!(
                     !refused || free || r.sends.iter().all(|s| !s.may_have_run),
@@ -192,27 +197,27 @@
         }
         let terminal = r.ended;
         let attempt = n as u32;
-        let load = self.rng.bool().then(|| Load { held: Some(self.rng.f64() * 9.0) });
+        let load = self.rng.bool().then(|| LoadReport { in_flight: Some(self.rng.f64() * 9.0) });
         self.tell(Event::Outcome(Outcome {
             id: RequestId(id),
             attempt,
             code,
             latency,
-            held_up: Micros(0),
-            terminal,
+            local_delay: Micros(0),
+            is_final: terminal,
             load,
         }));
     }
 
     fn news(&mut self) {
         let Some(form) =
-            [Some(Form::Delta), Some(Form::Full), Some(Form::Cached), None][self.rng.usize(0..4)]
+            [Some(ListForm::Delta), Some(ListForm::Full), Some(ListForm::Cached), None][self.rng.usize(0..4)]
         else {
             if self.watch {
                 let since = self.now - Micros(self.rng.i64(0..5_000_000));
                 let failures = [CallFailure::Busy, CallFailure::NoConnection, CallFailure::NoSocket];
                 let failure = failures[self.rng.usize(0..3)];
-                self.tell(Event::Unwatched { since, failure });
+                self.tell(Event::WatchFailed { complete_until: since, failure });
             }
             return;
         };
@@ -222,39 +227,39 @@
                 continue;
             }
             let state = match self.rng.u32(0..8) {
-                0 => Listed::Draining,
-                1 if form == Form::Delta => Listed::Gone,
-                _ => Listed::Ready,
+                0 => ListedState::Draining,
+                1 if form == ListForm::Delta => ListedState::Removed,
+                _ => ListedState::Ready,
             };
             let since = self.rng.bool().then(|| self.now - Micros(self.rng.i64(0..4_000_000)));
             let units = self.rng.f64() * 2.0;
             let (server, zone, cell) = (ServerId(id), id / 4, i64::from(id / 2));
-            entries.push(ServerNews {
+            entries.push(ServerEntry {
                 server,
                 zone,
                 kind: id % 3,
                 cell,
-                key: u64::from(id * 7 % 8),
+                ring_key: u64::from(id * 7 % 8),
                 state,
                 units,
-                since,
+                started_at: since,
             });
         }
         // Where draining alone binds, gone and left out unbind nothing and bind nobody.
-        let alone = self.set.drain_binds_alone;
+        let alone = self.set.removal_is_advisory;
         for e in &entries {
             let was = self.listed.get(&e.server.0).and_then(|l| l.1);
             let unfit = match e.state {
-                Listed::Ready => None,
-                Listed::Gone if alone => was,
+                ListedState::Ready => None,
+                ListedState::Removed if alone => was,
                 _ => Some(self.now),
             };
             self.listed.insert(e.server.0, (*e, unfit));
         }
-        if form != Form::Delta {
+        if form != ListForm::Delta {
             for (id, (news, unfit)) in self.listed.iter_mut() {
                 if !entries.iter().any(|e| e.server.0 == *id) {
-                    news.state = Listed::Gone;
+                    news.state = ListedState::Removed;
                     *unfit = if alone { *unfit } else { Some(self.now) };
                 }
             }
@@ -331,22 +336,22 @@
                 if !open.is_empty() {
                     let id = open[self.rng.usize(0..open.len())];
                     self.asked.get_mut(&id).unwrap().ended = true;
-                    self.tell(Event::Gone(RequestId(id)));
+                    self.tell(Event::ClientLeft(RequestId(id)));
                 }
             }
             // Odd but legal: stale timers, notices and outcomes of what has ended or never was.
             _ => {
                 let id = RequestId(self.rng.u64(0..*next + 3));
                 if self.asked.get(&id.0).is_none_or(|r| r.ended && r.sends.iter().all(|s| !s.out)) {
-                    self.tell(Event::Gone(id));
+                    self.tell(Event::ClientLeft(id));
                     let (code, latency, attempt) = (Code::Ok, Micros(1), self.rng.u32(0..9));
                     self.tell(Event::Outcome(Outcome {
                         id,
                         attempt,
                         code,
                         latency,
-                        held_up: Micros(0),
-                        terminal: true,
+                        local_delay: Micros(0),
+                        is_final: true,
                         load: None,
                     }));
                 }
--- a/crates/decisions/tests/hearsay.rs
+++ b/crates/decisions/tests/hearsay.rs
@@ -20,9 +20,9 @@
         let b = Balancer::new(set, seed, Micros(0));
         let sent = vec![0; servers as usize];
         let mut i = Instance { b, now: Micros(0), acts: Vec::new(), next: 0, sent };
-        let list: Vec<ServerNews> =
-            (0..servers).map(|id| ServerNews { server: ServerId(id), ..ServerNews::default() }).collect();
-        i.tell(Event::List { form: Form::Full, entries: &list });
+        let list: Vec<ServerEntry> =
+            (0..servers).map(|id| ServerEntry { server: ServerId(id), ..ServerEntry::default() }).collect();
+        i.tell(Event::List { form: ListForm::Full, entries: &list });
         i
     }
 
@@ -32,8 +32,14 @@
     }
 
     fn hear(&mut self, server: u32, bad: f64, tries: bool) {
-        let heard = Hearsay { server: ServerId(server), class: None, bad, at: self.now, tries };
-        self.tell(Event::Hearsay(heard));
+        let heard = PeerVerdict {
+            server: ServerId(server),
+            class: None,
+            severity: bad,
+            found_at: self.now,
+            probes_here: tries,
+        };
+        self.tell(Event::PeerVerdict(heard));
         self.now += Micros(SECOND / 5);
         self.tell(Event::Timer(0));
     }
@@ -67,8 +73,8 @@
                     attempt,
                     code,
                     latency: Micros(10_000),
-                    held_up: Micros(0),
-                    terminal,
+                    local_delay: Micros(0),
+                    is_final: terminal,
                     load: None,
                 };
                 self.tell(Event::Outcome(outcome));
@@ -136,8 +142,14 @@
 fn a_good_answer_since_counts_for_more() {
     let mut i = Instance::new(3, 8);
     i.serve(2 * SECOND, well);
-    let heard = Hearsay { server: ServerId(3), class: None, bad: 0.9, at: Micros(SECOND), tries: false };
-    i.tell(Event::Hearsay(heard));
+    let heard = PeerVerdict {
+        server: ServerId(3),
+        class: None,
+        severity: 0.9,
+        found_at: Micros(SECOND),
+        probes_here: false,
+    };
+    i.tell(Event::PeerVerdict(heard));
     assert!(i.sent_while(5 * SECOND, well)[3] > 10);
 }
 
@@ -163,10 +175,10 @@
     i.serve(2 * SECOND, well);
     i.hear(3, 0.9, false);
     i.serve(2 * SECOND, third_errs);
-    assert!(i.b.servers()[3].marks.iter().any(|m| m.ejected_until.is_some()));
-    assert!(!i.b.servers()[3].marks.iter().any(|m| m.own));
+    assert!(i.b.servers()[3].health.iter().any(|m| m.ejected_until.is_some()));
+    assert!(!i.b.servers()[3].health.iter().any(|m| m.by_own_score));
     i.serve(5 * SECOND, |to| if to == 5 { Code::Error } else { Code::Ok });
-    assert!(i.b.servers()[5].marks.iter().any(|m| m.own && m.ejected_until.is_some()));
+    assert!(i.b.servers()[5].health.iter().any(|m| m.by_own_score && m.ejected_until.is_some()));
 }
 
 /// A server that started anew is not the one that was spoken of.
@@ -175,7 +187,7 @@
     let mut i = Instance::new(5, 8);
     i.serve(2 * SECOND, well);
     i.hear(3, 0.9, false);
-    let anew = ServerNews { server: ServerId(3), since: Some(i.now), ..ServerNews::default() };
-    i.tell(Event::List { form: Form::Delta, entries: &[anew] });
+    let anew = ServerEntry { server: ServerId(3), started_at: Some(i.now), ..ServerEntry::default() };
+    i.tell(Event::List { form: ListForm::Delta, entries: &[anew] });
     assert!(i.sent_while(10 * SECOND, well)[3] > 0);
 }
--- a/crates/decisions/tests/keyed_turns.rs
+++ b/crates/decisions/tests/keyed_turns.rs
@@ -7,7 +7,7 @@
 
 fn ordered(effect: Effect) -> Settings {
     let class = Class { keep_order: true, ..settings(effect).classes[0].clone() };
-    Settings { classes: vec![class], key_rest: Micros(50_000), ..settings(effect) }
+    Settings { classes: vec![class], key_pause: Micros(50_000), ..settings(effect) }
 }
 
 impl Bench {
@@ -42,7 +42,7 @@
     assert!(t.ask_key(1, 7).is_some());
     assert_eq!(t.ask_key(2, 7), None);
     // The client leaves: the attempt is out until its outcome, and then the key rests.
-    t.tell(Event::Gone(RequestId(1)));
+    t.tell(Event::ClientLeft(RequestId(1)));
     assert_eq!(t.sent(), None);
     t.now += Micros(5_000);
     t.end(1, 0, Code::Cancelled, 5_000, None);
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -137,23 +137,23 @@
     served: u64,
 }
 
-fn listing(n: usize, state: Listed, since: Option<Micros>) -> (Listing, Option<std::net::SocketAddr>) {
+fn listing(n: usize, state: ListedState, since: Option<Micros>) -> (Listing, Option<std::net::SocketAddr>) {
     let (zone, kind) = (Some("a".to_string()), Some("std".to_string()));
-    (Listing { name: format!("s-{n}"), zone, kind, cell: 0, state, units: 1.0, since }, None)
+    (Listing { name: format!("s-{n}"), zone, kind, cell: 0, state, units: 1.0, started_at: since }, None)
 }
 
 fn site(me: usize) -> Site {
     let class = Class { aim: DEADLINE, deadline: DEADLINE, ..Class::default() };
     let settings = Settings {
         instances: INSTANCES as u32,
-        me: me as u32,
+        instance_index: me as u32,
         resolution: STEP,
         classes: vec![class],
-        parallel_tries: true,
+        parallel_attempts: true,
         may_cancel: true,
         cold_share: COLD_SHARE,
         ramp_time: RAMP,
-        tip_after: WINDOW,
+        cold_overload_window: WINDOW,
         ..Settings::default()
     };
     let one = |name: &str| vec![name.to_string()];
@@ -185,10 +185,10 @@
     fn start(&mut self, n: usize, seed: u64) {
         let decisions = Decisions::new(site(n), seed * INSTANCES as u64 + n as u64, self.now);
         self.instances[n] = Some(decisions);
-        let listed = |(n, u): (usize, &Upstream)| listing(n, Listed::Ready, u.started);
+        let listed = |(n, u): (usize, &Upstream)| listing(n, ListedState::Ready, u.started);
         let hosts = self.upstreams.iter().enumerate().filter(|(n, u)| *n < UPSTREAMS || u.started.is_some());
         let list = HostList { seq: 1, whole: true, hosts: hosts.map(listed).collect() };
-        self.tell(n, Report::Hosts(list));
+        self.tell(n, Report::List(list));
     }
 
     fn tell(&mut self, n: usize, report: Report) {
@@ -213,7 +213,7 @@
                 Decision::Refuse { request, .. } | Decision::Fail(request) => {
                     self.open.remove(&request.0);
                 }
-                Decision::Wait(_) | Decision::Watch | Decision::Note(_) => {}
+                Decision::Wait(_) | Decision::Watch | Decision::Log(_) => {}
             }
         }
     }
@@ -240,7 +240,15 @@
         let request = RequestId(request);
         self.tell(
             out.instance,
-            Report::Ended { request, attempt, code, latency, held_up: Duration::ZERO, held: None, answered },
+            Report::Ended {
+                request,
+                attempt,
+                code,
+                latency,
+                local_delay: Duration::ZERO,
+                upstream_in_flight: None,
+                answered,
+            },
         );
     }
 
@@ -258,7 +266,7 @@
         let work = Micros((-mean * self.rng.f64().max(1e-9).ln()).max(1_000.0) as i64);
         self.next += 1;
         self.open.insert(self.next, (work, 0));
-        let ask = Ask {
+        let ask = PickRequest {
             request: RequestId(self.next),
             class: ClassId(0),
             tenant: None,
@@ -285,7 +293,7 @@
         let (due, later) = std::mem::take(&mut self.news).into_iter().partition(|(at, ..)| *at <= now);
         self.news = later;
         let due: Vec<(Micros, usize, HostList)> = due;
-        due.into_iter().for_each(|(_, n, list)| self.tell(n, Report::Hosts(list)));
+        due.into_iter().for_each(|(_, n, list)| self.tell(n, Report::List(list)));
         for n in 0..INSTANCES {
             if self.instances[n].is_none() {
                 continue;
@@ -303,14 +311,14 @@
     fn run(mut self, seed: u64) -> Outcome {
         while self.now < END {
             if self.now == LEAVE {
-                self.spread((0..self.case.back).map(|n| listing(n, Listed::Gone, None)).collect());
+                self.spread((0..self.case.back).map(|n| listing(n, ListedState::Removed, None)).collect());
             }
             if self.now == RETURN {
                 let started = Some(self.now);
                 let cold = (0..self.case.back).chain(UPSTREAMS..UPSTREAMS + self.case.new);
                 let cold: Vec<usize> = cold.collect();
                 cold.iter().for_each(|&n| self.upstreams[n].started = started);
-                self.spread(cold.iter().map(|&n| listing(n, Listed::Ready, started)).collect());
+                self.spread(cold.iter().map(|&n| listing(n, ListedState::Ready, started)).collect());
                 (INSTANCES - self.case.newborn..INSTANCES).for_each(|n| self.start(n, seed));
             }
             self.step();
--- a/crates/decisions/tests/subsets.rs
+++ b/crates/decisions/tests/subsets.rs
@@ -11,7 +11,7 @@
         .map(|seed| {
             let mut b = Balancer::new(settings(Effect::Safe), seed, Micros(0));
             let (mut acts, list) = (Vec::new(), [0, 1, 2, 3].map(server));
-            b.handle(Micros(0), Event::List { form: Form::Full, entries: &list }, &mut acts);
+            b.handle(Micros(0), Event::List { form: ListForm::Full, entries: &list }, &mut acts);
             let mut bench = Bench { b, now: Micros(0), acts };
             bench.ask(1, 10_000).unwrap()
         })
@@ -24,13 +24,21 @@
 fn crowd(callers: u32, servers: u32) -> Vec<usize> {
     let mut sent = vec![0; servers as usize];
     for me in 0..callers {
-        let set = Settings { instances: callers, me, idle_close: Micros(0), ..settings(Effect::Safe) };
+        let set = Settings {
+            instances: callers,
+            instance_index: me,
+            idle_close: Micros(0),
+            ..settings(Effect::Safe)
+        };
         let mut b = Balancer::new(set, u64::from(me), Micros(0));
         let list: Vec<_> = (0..servers)
-            .map(|id| ServerNews { key: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15), ..server(id) })
+            .map(|id| ServerEntry {
+                ring_key: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+                ..server(id)
+            })
             .collect();
         let mut acts = Vec::new();
-        b.handle(Micros(0), Event::List { form: Form::Full, entries: &list }, &mut acts);
+        b.handle(Micros(0), Event::List { form: ListForm::Full, entries: &list }, &mut acts);
         let mut t = Bench { b, now: Micros(0), acts };
         for id in 0..40 {
             sent[t.ask(id, 10_000).unwrap() as usize] += 1;
@@ -71,13 +79,16 @@
     let mut t = Bench::new(set, 3);
     assert_eq!(t.ask(1, 10_000), None);
     t.acts.clear();
-    let own = ServerNews { kind: 1, ..server(3) };
-    t.tell(Event::List { form: Form::Delta, entries: &[own] });
+    let own = ServerEntry { kind: 1, ..server(3) };
+    t.tell(Event::List { form: ListForm::Delta, entries: &[own] });
     t.periods(1);
     assert_eq!(t.sent(), Some(3));
     // Failed there, it goes nowhere else, also when its kind is gone.
     t.acts.clear();
-    t.tell(Event::List { form: Form::Delta, entries: &[ServerNews { state: Listed::Gone, ..own }] });
+    t.tell(Event::List {
+        form: ListForm::Delta,
+        entries: &[ServerEntry { state: ListedState::Removed, ..own }],
+    });
     t.end(1, 0, Code::Error, 5_000, None);
     assert_eq!(t.sent(), None);
 }
@@ -88,7 +99,7 @@
     let bound = Class { only_kinds: vec![1], effect: Effect::Unsafe, ..Class::default() };
     let set = Settings { classes: vec![bound, Class::default()], ..Settings::default() };
     let mut t = Bench::new(set, 2);
-    t.tell(Event::List { form: Form::Delta, entries: &[ServerNews { kind: 1, ..server(2) }] });
+    t.tell(Event::List { form: ListForm::Delta, entries: &[ServerEntry { kind: 1, ..server(2) }] });
     for id in 0..60 {
         t.ask(id, 10_000);
     }
@@ -126,8 +137,8 @@
     for (crossing_price, most) in [(0.0, 40), (0.04, 4)] {
         let set = Settings { crossing_price, idle_close: Micros(0), ..settings(Effect::Safe) };
         let mut t = Bench::new(set, 0);
-        let list: Vec<_> = (0..8).map(|id| ServerNews { zone: id / 4, ..server(id) }).collect();
-        t.tell(Event::List { form: Form::Full, entries: &list });
+        let list: Vec<_> = (0..8).map(|id| ServerEntry { zone: id / 4, ..server(id) }).collect();
+        t.tell(Event::List { form: ListForm::Full, entries: &list });
         let to: Vec<u32> = (0..60)
             .map(|id| {
                 let to = t.ask(id, 10_000).unwrap();
--- a/crates/decisions/tests/support/mod.rs
+++ b/crates/decisions/tests/support/mod.rs
@@ -12,10 +12,10 @@
 
 impl Bench {
     pub fn new(set: Settings, servers: u32) -> Bench {
-        Bench::starting_from(Form::Full, set, servers)
+        Bench::starting_from(ListForm::Full, set, servers)
     }
 
-    pub fn starting_from(form: Form, set: Settings, servers: u32) -> Bench {
+    pub fn starting_from(form: ListForm, set: Settings, servers: u32) -> Bench {
         let mut bench = Bench { b: Balancer::new(set, 11, Micros(0)), now: Micros(0), acts: Vec::new() };
         let list: Vec<_> = (0..servers).map(server).collect();
         bench.tell(Event::List { form, entries: &list });
@@ -54,7 +54,7 @@
     }
 
     pub fn fail_call(&mut self, failure: CallFailure) {
-        self.tell(Event::Unwatched { since: self.now, failure });
+        self.tell(Event::WatchFailed { complete_until: self.now, failure });
     }
 
     pub fn ask(&mut self, id: u64, work: i64) -> Option<u32> {
@@ -93,7 +93,7 @@
         sends.collect()
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, code: Code, latency: i64, load: Option<Load>) {
+    pub fn end(&mut self, id: u64, attempt: u32, code: Code, latency: i64, load: Option<LoadReport>) {
         self.end_held_up(id, attempt, code, (latency, 0), load);
     }
 
@@ -104,18 +104,26 @@
         attempt: u32,
         code: Code,
         (latency, held_up): (i64, i64),
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         self.acts.clear();
         let terminal = code == Code::Ok;
         let (id, latency, held_up) = (RequestId(id), Micros(latency), Micros(held_up));
-        self.tell(Event::Outcome(Outcome { id, attempt, code, latency, held_up, terminal, load }));
+        self.tell(Event::Outcome(Outcome {
+            id,
+            attempt,
+            code,
+            latency,
+            local_delay: held_up,
+            is_final: terminal,
+            load,
+        }));
     }
 }
 
 /// A server that is ready, in a cell of its own.
-pub fn server(id: u32) -> ServerNews {
-    ServerNews { server: ServerId(id), cell: i64::from(id), ..ServerNews::default() }
+pub fn server(id: u32) -> ServerEntry {
+    ServerEntry { server: ServerId(id), cell: i64::from(id), ..ServerEntry::default() }
 }
 
 /// One class with an aim of 1 s.
--- a/crates/emulator/src/day/balancers.rs
+++ b/crates/emulator/src/day/balancers.rs
@@ -26,7 +26,7 @@
         };
         let b = &self.world.balancers;
         self.rules.taken(id, call.expires, allows, b.attempts, b.parallel);
-        let ask = Ask {
+        let ask = PickRequest {
             request: RequestId(id),
             class: ClassId(call.class as u32),
             tenant: (call.tenant != usize::MAX).then_some(TenantId(call.tenant as u32)),
@@ -68,7 +68,7 @@
                 Inbox::Ask(ask) => (policy.pick(now, ask), None),
                 Inbox::News(report) => {
                     let over = match &report {
-                        News::Ended { request, .. } | News::Gone(request) => Some(request.0),
+                        News::Ended { request, .. } | News::ClientLeft(request) => Some(request.0),
                         _ => None,
                     };
                     (policy.report(now, report), over)
@@ -112,7 +112,7 @@
                     let wait = delay.draw(&mut self.draws.list);
                     self.events.after(wait, Event::Watched(balancer));
                 }
-                Decision::Wait(_) | Decision::Note(_) => {}
+                Decision::Wait(_) | Decision::Log(_) => {}
             }
         }
     }
@@ -156,8 +156,8 @@
                 attempt: number,
                 code,
                 latency,
-                held_up: Duration::ZERO,
-                held: None,
+                local_delay: Duration::ZERO,
+                upstream_in_flight: None,
                 answered,
             };
             return self.post(now, balancer, Inbox::News(report));
@@ -302,8 +302,8 @@
             attempt: number,
             code,
             latency,
-            held_up: Duration::ZERO,
-            held,
+            local_delay: Duration::ZERO,
+            upstream_in_flight: held,
             answered,
         };
         self.post(now, balancer, Inbox::News(report));
@@ -317,7 +317,7 @@
         // The balancer owes nothing any more.
         call.answered = true;
         let balancer = call.balancer;
-        self.post(now, balancer, Inbox::News(News::Gone(RequestId(id))));
+        self.post(now, balancer, Inbox::News(News::ClientLeft(RequestId(id))));
     }
 
     /// The load that a node's report tells now.
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -31,7 +31,7 @@
                     if begins {
                         self.places[n].vanished = true;
                         self.set_speed(now, n);
-                        self.announce(now, n, Listed::Gone);
+                        self.announce(now, n, ListedState::Removed);
                     } else {
                         // It comes back as a new process: what it held is reset.
                         self.places[n].vanished = false;
@@ -44,7 +44,7 @@
                 for n in nodes {
                     if begins {
                         self.places[n].draining = true;
-                        self.announce(now, n, Listed::Draining);
+                        self.announce(now, n, ListedState::Draining);
                         self.events.after(Micros(1_000_000), Event::Stop(n));
                     } else {
                         self.start_node(now, n);
@@ -80,7 +80,7 @@
             }
             What::LyingList => {
                 for n in nodes {
-                    self.announce(now, n, if begins { Listed::Gone } else { Listed::Ready });
+                    self.announce(now, n, if begins { ListedState::Removed } else { ListedState::Ready });
                 }
             }
         }
--- a/crates/emulator/src/day/links.rs
+++ b/crates/emulator/src/day/links.rs
@@ -55,7 +55,7 @@
             self.events.at(at, Event::Link(from));
         }
         for heard in step.heard {
-            self.post(now, from, Inbox::News(News::Heard(heard)));
+            self.post(now, from, Inbox::News(News::PeerVerdict(heard)));
         }
     }
 }
--- a/crates/emulator/src/day/lives.rs
+++ b/crates/emulator/src/day/lives.rs
@@ -90,13 +90,13 @@
         let known = self.whole_list(tier);
         for node in self.first[tier]..self.first[tier] + self.world.tiers[tier].nodes {
             self.rules.told(now, at, node, true);
-            if self.state(node) != Listed::Ready {
+            if self.state(node) != ListedState::Ready {
                 self.rules.told(now, at, node, false);
             }
         }
         let b = &mut self.balancers[at];
         (b.policy, b.life) = (policy, Life::Runs);
-        self.post(now, at, Inbox::News(News::Known(known)));
+        self.post(now, at, Inbox::News(News::InitialList(known)));
         if let Some(fleet) = &mut self.fleet {
             let due = fleet.start(now, at, self.starts);
             self.events.at(due, Event::Link(at));
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -16,7 +16,7 @@
 use crate::report::{histogram, latency, Part, Report};
 use crate::rules::{Allows, Checker, Ran, ANSWER_GRACE};
 use crate::world::{Arrivals, Repeat, What, World};
-use garnettally_decisions::facade::{Ask, Code, Decision, Report as News, RequestId};
+use garnettally_decisions::facade::{Code, Decision, PickRequest, Report as News, RequestId};
 use garnettally_model::*;
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
@@ -51,7 +51,7 @@
     /// A client tries again.
     Again(u32),
     /// A balancer is told of a node.
-    Told(usize, usize, Listed, Option<Micros>),
+    Told(usize, usize, ListedState, Option<Micros>),
     /// A watch answers with the whole list.
     Watched(usize),
     /// A fault begins, ends.
@@ -187,7 +187,7 @@
 }
 
 enum Inbox {
-    Ask(Ask),
+    Ask(PickRequest),
     News(News),
 }
 
@@ -242,7 +242,7 @@
     late_reports: Micros,
     burst: f64,
     stale: bool,
-    held_news: Vec<(usize, usize, Listed, Option<Micros>)>,
+    held_news: Vec<(usize, usize, ListedState, Option<Micros>)>,
     cut: Option<usize>,
     /// How often balancers have started anew.
     starts: u64,
@@ -451,7 +451,7 @@
             tier,
             zone,
             policy,
-            inbox: vec![Inbox::News(News::Known(known))],
+            inbox: vec![Inbox::News(News::InitialList(known))],
             due: Some(Micros(0)),
             life: Life::Runs,
             held: Vec::new(),
@@ -480,7 +480,7 @@
             deadline: c.deadline.0,
             effect: match c.repeat {
                 Repeat::Safe => Effect::Safe,
-                Repeat::Keyed => Effect::Keyed { group: Group::Cell, window: c.window.0 },
+                Repeat::Keyed => Effect::Keyed { scope: DedupScope::Cell, window: c.window.0 },
                 Repeat::Never => Effect::Unsafe,
             },
             worth: c.worth,
@@ -489,22 +489,22 @@
         });
         let settings = Settings {
             instances: instances as u32,
-            me: (id % instances) as u32,
+            instance_index: (id % instances) as u32,
             resolution: b.resolution.0,
             idle_close: t.idle.0,
             zone: zone as u32,
             tier: tier as u32,
             classes: classes.collect(),
             tenant_quota: world.tenants.iter().map(|t| t.quota.unwrap_or(f64::INFINITY)).collect(),
-            must_ask: true,
-            parallel_tries: b.parallel,
+            watch_on_request: true,
+            parallel_attempts: b.parallel,
             may_cancel: b.cancel,
             max_attempts: b.attempts,
             retry_after: b.retry_after_max.0 > Micros(0),
             max_retry_after: b.retry_after_max.0,
             cold_share: t.cold_share,
             ramp_time: t.warm_after.0,
-            tip_after: t.tip_window.0,
+            cold_overload_window: t.tip_window.0,
             ..base
         };
         let names = Names::new(
@@ -526,16 +526,16 @@
         HostList { seq: 1, whole: true, hosts: hosts.collect() }
     }
 
-    fn state(&self, node: usize) -> Listed {
+    fn state(&self, node: usize) -> ListedState {
         let p = &self.places[node];
         match (p.stopped, p.draining) {
-            (true, _) => Listed::Gone,
-            (_, true) => Listed::Draining,
-            _ => Listed::Ready,
+            (true, _) => ListedState::Removed,
+            (_, true) => ListedState::Draining,
+            _ => ListedState::Ready,
         }
     }
 
-    fn listing(&self, node: usize, state: Listed) -> Listing {
+    fn listing(&self, node: usize, state: ListedState) -> Listing {
         let p = &self.places[node];
         Listing {
             name: format!("n{node}"),
@@ -544,7 +544,7 @@
             cell: p.cell as i64,
             state,
             units: 1.0,
-            since: p.since,
+            started_at: p.since,
         }
     }
 
--- a/crates/emulator/src/day/nodes.rs
+++ b/crates/emulator/src/day/nodes.rs
@@ -275,7 +275,7 @@
         (p.since, p.cold_from) = (Some(now), Some(now));
         self.rules.started(node, t.tip_factor, t.tip_window.0);
         self.warm(now, node);
-        self.announce(now, node, Listed::Ready);
+        self.announce(now, node, ListedState::Ready);
     }
 
     /// It falls over, and stays down.
@@ -283,7 +283,7 @@
         self.places[node].stopped = true;
         self.drop_all(now, node);
         self.set_speed(now, node);
-        self.announce(now, node, Listed::Gone);
+        self.announce(now, node, ListedState::Removed);
     }
 
     pub(super) fn stop(&mut self, now: Micros, node: usize) {
@@ -291,12 +291,12 @@
             self.places[node].stopped = true;
             self.drop_all(now, node);
             self.set_speed(now, node);
-            self.announce(now, node, Listed::Gone);
+            self.announce(now, node, ListedState::Removed);
         }
     }
 
     /// Has all balancers of a tier told of a node, each in its time.
-    pub(super) fn announce(&mut self, now: Micros, node: usize, state: Listed) {
+    pub(super) fn announce(&mut self, now: Micros, node: usize, state: ListedState) {
         let (tier, since) = (self.places[node].tier, self.places[node].since);
         let delay = self.world.tiers[tier].list.delay;
         for b in 0..self.balancers.len() {
@@ -307,17 +307,24 @@
         }
     }
 
-    pub(super) fn tell(&mut self, now: Micros, b: usize, node: usize, state: Listed, since: Option<Micros>) {
+    pub(super) fn tell(
+        &mut self,
+        now: Micros,
+        b: usize,
+        node: usize,
+        state: ListedState,
+        since: Option<Micros>,
+    ) {
         if let Some(held) = self.held_back(b, || Event::Told(b, node, state, since)) {
             return held;
         }
         if self.stale {
             return self.held_news.push((b, node, state, since));
         }
-        self.rules.told(now, b, node, state == Listed::Ready);
-        let listing = Listing { since, ..self.listing(node, state) };
+        self.rules.told(now, b, node, state == ListedState::Ready);
+        let listing = Listing { started_at: since, ..self.listing(node, state) };
         let list = HostList { seq: 2, whole: false, hosts: vec![(listing, None)] };
-        self.post(now, b, Inbox::News(News::Hosts(list)));
+        self.post(now, b, Inbox::News(News::List(list)));
     }
 
     pub(super) fn watched(&mut self, now: Micros, b: usize) {
@@ -328,10 +335,10 @@
         let list = self.whole_list(tier);
         for node in self.first[tier]..self.first[tier] + self.world.tiers[tier].nodes {
             let state = self.state(node);
-            if state != Listed::Ready {
+            if state != ListedState::Ready {
                 self.rules.told(now, b, node, false);
             }
         }
-        self.post(now, b, Inbox::News(News::Hosts(list)));
+        self.post(now, b, Inbox::News(News::List(list)));
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::draw::Stream;
 use crate::world::{FleetLink, World};
-use garnettally_model::{Findings, Hearsay, Micros, ServerId};
+use garnettally_model::{LocalObservations, Micros, PeerVerdict, ServerId};
 use garnettally_peers::{Input, Output, Peers, Settings, State};
 use garnettally_verdicts::{merge, Claim, Exchange, Said, Subject, View};
 use rustc_hash::FxHashMap;
@@ -33,7 +33,7 @@
     /// Datagrams: to whom, what.
     pub sends: Vec<(usize, Vec<u8>)>,
     /// What the member's module is to hear.
-    pub heard: Vec<Hearsay>,
+    pub heard: Vec<PeerVerdict>,
     /// When the member is to be woken, if that is sooner than before.
     pub wake: Option<Micros>,
 }
@@ -146,7 +146,7 @@
         &mut self,
         now: Micros,
         at: usize,
-        findings: impl FnOnce() -> Findings,
+        findings: impl FnOnce() -> LocalObservations,
         since: impl Fn(ServerId) -> Option<Micros>,
     ) -> Step {
         let m = &mut self.members[at];
@@ -174,7 +174,12 @@
         step
     }
 
-    fn hear(&mut self, now: Micros, at: usize, since: impl Fn(ServerId) -> Option<Micros>) -> Vec<Hearsay> {
+    fn hear(
+        &mut self,
+        now: Micros,
+        at: usize,
+        since: impl Fn(ServerId) -> Option<Micros>,
+    ) -> Vec<PeerVerdict> {
         let m = &self.members[at];
         let said: Vec<Said> = m
             .peers
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,8 +1,8 @@
 //! What decides for a balancer: the real module, or a reference to compare it with.
 
 use crate::references::{Reference, Rule};
-use garnettally_decisions::facade::{Ask, Decision, Decisions, Micros, Report};
-use garnettally_model::{Findings, Listed, Settings, Site};
+use garnettally_decisions::facade::{Decision, Decisions, Micros, PickRequest, Report};
+use garnettally_model::{ListedState, LocalObservations, Settings, Site};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -99,7 +99,7 @@
 /// Decides for one balancer. Nodes are numbered by their places in the tier.
 pub trait Policy {
     /// Where a new request goes.
-    fn pick(&mut self, now: Micros, ask: Ask) -> Vec<Decision>;
+    fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision>;
     /// Takes in what has become known.
     fn report(&mut self, now: Micros, report: Report) -> Vec<Decision>;
     /// Lets time pass.
@@ -107,13 +107,13 @@
     /// When time is to pass next.
     fn next_tick(&self) -> Option<Micros>;
     /// What it has found out by its own calls. References find out nothing.
-    fn findings(&self, _now: Micros) -> Findings {
-        Findings::default()
+    fn findings(&self, _now: Micros) -> LocalObservations {
+        LocalObservations::default()
     }
 }
 
 impl Policy for Decisions {
-    fn pick(&mut self, now: Micros, ask: Ask) -> Vec<Decision> {
+    fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         Decisions::pick(self, now, ask)
     }
     fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
@@ -125,8 +125,8 @@
     fn next_tick(&self) -> Option<Micros> {
         Decisions::next_tick(self)
     }
-    fn findings(&self, now: Micros) -> Findings {
-        Decisions::findings(self, now)
+    fn findings(&self, now: Micros) -> LocalObservations {
+        Decisions::local_observations(self, now)
     }
 }
 
@@ -147,6 +147,6 @@
 }
 
 /// Whether a node of a list takes new requests.
-pub(crate) fn takes(state: Listed) -> bool {
-    state == Listed::Ready
+pub(crate) fn takes(state: ListedState) -> bool {
+    state == ListedState::Ready
 }
--- a/crates/emulator/src/references.rs
+++ b/crates/emulator/src/references.rs
@@ -6,8 +6,10 @@
 
 use crate::draw::Stream;
 use crate::policy::{takes, Policy, Truth, Truths};
-use garnettally_decisions::facade::{Ask, Code, Decision, Effect, Micros, Report, RequestId, ServerId};
-use garnettally_model::{Group, HostList, Settings};
+use garnettally_decisions::facade::{
+    Code, Decision, Effect, Micros, PickRequest, Report, RequestId, ServerId,
+};
+use garnettally_model::{DedupScope, HostList, Settings};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -124,15 +126,17 @@
     fn choose(&mut self, now: Micros, asked: &Asked) -> Option<usize> {
         // A keyed retry stays where its first attempt that may have run would drop it.
         let bound = match self.settings.classes[asked.class].effect {
-            Effect::Keyed { group, .. } => asked.tried.iter().find(|t| t.1).map(|t| (group, self.nodes[t.0])),
+            Effect::Keyed { scope: group, .. } => {
+                asked.tried.iter().find(|t| t.1).map(|t| (group, self.nodes[t.0]))
+            }
             _ => None,
         };
         let fits = |i: &usize| {
             let n = &self.nodes[*i];
             n.ready
                 && match bound {
-                    Some((Group::Cell, b)) => n.cell == b.cell && n.zone == b.zone,
-                    Some((Group::Zone, b)) => n.zone == b.zone,
+                    Some((DedupScope::Cell, b)) => n.cell == b.cell && n.zone == b.zone,
+                    Some((DedupScope::Zone, b)) => n.zone == b.zone,
                     _ => true,
                 }
         };
@@ -250,7 +254,7 @@
 }
 
 impl Policy for Reference {
-    fn pick(&mut self, now: Micros, ask: Ask) -> Vec<Decision> {
+    fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         self.tokens = (self.tokens + RETRY_RATIO).min(100.0);
         let (class, expires) = (ask.class.0 as usize, ask.expires);
         let asked = Asked { class, expires, tried: Vec::new(), out: 0, first: now };
@@ -263,13 +267,13 @@
 
     fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
         match report {
-            Report::Known(list) | Report::Hosts(list) => {
+            Report::InitialList(list) | Report::List(list) => {
                 self.list(&list);
                 Vec::new()
             }
             // References go by what they see themselves.
-            Report::Heard(_) => Vec::new(),
-            Report::Gone(id) => {
+            Report::PeerVerdict(_) => Vec::new(),
+            Report::ClientLeft(id) => {
                 let Some(asked) = self.asked.get(&id) else { return Vec::new() };
                 let attempts = asked.tried.len() as u32;
                 let out = asked.out;
@@ -279,7 +283,7 @@
                 let cancel = |attempt| Decision::Cancel { request: id, attempt };
                 (0..attempts).filter(|_| out > 0 && self.settings.may_cancel).map(cancel).collect()
             }
-            Report::Ended { request, attempt, code, held, answered, .. } => {
+            Report::Ended { request, attempt, code, upstream_in_flight: held, answered, .. } => {
                 let Some(asked) = self.asked.get_mut(&request) else { return Vec::new() };
                 let Some(tried) = asked.tried.get_mut(attempt as usize) else { return Vec::new() };
                 tried.1 = !matches!(code, Code::Full | Code::ConnectFailed | Code::Moot);
@@ -317,7 +321,7 @@
                 }
             }
             Report::WatchFailed { .. }
-            | Report::DiscoveryAnswers
+            | Report::DiscoveryAnswerStarted
             | Report::DiscoveryMoved
             | Report::WallClock { .. } => Vec::new(),
         }
--- a/crates/emulator/tests/stale_lists/directory.rs
+++ b/crates/emulator/tests/stale_lists/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::schedule::{AnswerForm, FailureMode, Schedule, SECOND};
 use garnettally_emulator::registry::{RegistryLimits, RegistryQueue, Verdict};
-use garnettally_model::{CallFailure, HostList, Listed, Listing, Micros};
+use garnettally_model::{CallFailure, HostList, ListedState, Listing, Micros};
 
 /// As measured on a service that some hundred processes shared.
 pub const LIMITS: RegistryLimits = RegistryLimits {
@@ -41,9 +41,9 @@
     name.rsplit('-').next().and_then(|n| n.parse().ok()).expect("a name of this bed")
 }
 
-fn entry(upstream: usize, state: Listed) -> (Listing, Option<std::net::SocketAddr>) {
+fn entry(upstream: usize, state: ListedState) -> (Listing, Option<std::net::SocketAddr>) {
     let name = name_of(upstream);
-    let listing = Listing { name, zone: None, kind: None, cell: 0, state, units: 1.0, since: None };
+    let listing = Listing { name, zone: None, kind: None, cell: 0, state, units: 1.0, started_at: None };
     (listing, None)
 }
 
@@ -76,10 +76,14 @@
     pub fn list_held(schedule: &Schedule, is_told: impl Fn(usize) -> bool) -> HostList {
         let state = |upstream: usize| {
             let departure = schedule.departures.iter().enumerate().find(|(_, d)| d.upstream == upstream);
-            departure.filter(|(n, _)| is_told(*n)).map_or(Listed::Ready, |(_, d)| d.listed)
+            departure.filter(|(n, _)| is_told(*n)).map_or(ListedState::Ready, |(_, d)| d.listed)
         };
         let listed = (0..schedule.upstreams).map(|u| entry(u, state(u)));
-        HostList { seq: 0, whole: true, hosts: listed.filter(|(l, _)| l.state != Listed::Gone).collect() }
+        HostList {
+            seq: 0,
+            whole: true,
+            hosts: listed.filter(|(l, _)| l.state != ListedState::Removed).collect(),
+        }
     }
 
     /// What is written to a process that was told of what `is_told` says, at this time.
@@ -93,7 +97,7 @@
             AnswerForm::WholeList => {
                 let left: Vec<usize> = past.map(|(_, d)| d.upstream).collect();
                 let stay = (0..schedule.upstreams).filter(|u| !left.contains(u));
-                HostList { seq: 0, whole: true, hosts: stay.map(|u| entry(u, Listed::Ready)).collect() }
+                HostList { seq: 0, whole: true, hosts: stay.map(|u| entry(u, ListedState::Ready)).collect() }
             }
         }
     }
--- a/crates/emulator/tests/stale_lists/play.rs
+++ b/crates/emulator/tests/stale_lists/play.rs
@@ -4,7 +4,7 @@
 use crate::schedule::{Departure, LeavingMode, Schedule, WatchLoss, SECOND};
 use crate::told::{Ground, Notifications};
 use garnettally_decisions::facade::{
-    Ask, CallFailure, ClassId, Code, Decision, Decisions, ListStanding, Report, RequestId, ServerId,
+    CallFailure, ClassId, Code, Decision, Decisions, ListStanding, PickRequest, Report, RequestId, ServerId,
 };
 use garnettally_decisions::{Class, HostList, Micros, Names, Settings, Site};
 use garnettally_emulator::draw::Stream;
@@ -127,13 +127,13 @@
     let settings = Settings {
         classes: vec![class],
         instances: schedule.told_instances,
-        me: process as u32 % schedule.told_instances.max(1),
-        must_ask: true,
+        instance_index: process as u32 % schedule.told_instances.max(1),
+        watch_on_request: true,
         ..Settings::default()
     };
     let names = Names::new(vec!["look".to_string()], Vec::new(), Vec::new(), Vec::new());
     let mut module = Decisions::new(Site { settings, names }, seed, now);
-    module.report(now, Report::Known(known));
+    module.report(now, Report::InitialList(known));
     module
 }
 
@@ -255,7 +255,7 @@
         p.pending.insert(request, Pending { expires, attempts: 0 });
         let decisions = p.decisions.pick(
             now,
-            Ask {
+            PickRequest {
                 request: RequestId(request),
                 class: ClassId(0),
                 tenant: None,
@@ -314,8 +314,15 @@
         let answered = !p.pending.contains_key(&request);
         let latency = Duration::from_micros(latency.0 as u64);
         let request = RequestId(request);
-        let report =
-            Report::Ended { request, attempt, code, latency, held_up: Duration::ZERO, held: None, answered };
+        let report = Report::Ended {
+            request,
+            attempt,
+            code,
+            latency,
+            local_delay: Duration::ZERO,
+            upstream_in_flight: None,
+            answered,
+        };
         self.report(process, report);
     }
 
@@ -346,7 +353,7 @@
                     self.processes[process].pending.remove(&request.0);
                 }
                 Decision::Watch => self.ask(process),
-                Decision::Wait(_) | Decision::Cancel { .. } | Decision::Note(_) => {}
+                Decision::Wait(_) | Decision::Cancel { .. } | Decision::Log(_) => {}
             }
         }
         self.schedule_wake(process);
@@ -368,7 +375,7 @@
     fn ask(&mut self, process: usize) {
         if self.processes[process].watch.is_some() {
             let unchanged = HostList { seq: 0, whole: false, hosts: Vec::new() };
-            return self.report(process, Report::Hosts(unchanged));
+            return self.report(process, Report::List(unchanged));
         }
         self.course.calls += 1;
         let end = self.directory.call(self.schedule, self.now());
@@ -381,7 +388,7 @@
         match end {
             CallEnd::Answered { .. } => self.open_watch(process),
             CallEnd::Failed { failure, .. } => {
-                self.report(process, Report::WatchFailed { silent: Duration::ZERO, failure });
+                self.report(process, Report::WatchFailed { incomplete_for: Duration::ZERO, failure });
             }
         }
     }
@@ -396,7 +403,7 @@
         for (departure, _) in schedule.departures.iter().enumerate().filter(|(_, d)| d.at <= now) {
             p.told.wrote(departure, now);
         }
-        self.report(process, Report::Hosts(list));
+        self.report(process, Report::List(list));
     }
 
     fn tell_of(&mut self, departure: usize) {
@@ -405,7 +412,7 @@
             let p = &mut self.processes[process];
             if p.watch.as_ref().is_some_and(|w| !w.silent) {
                 p.told.wrote(departure, now);
-                self.report(process, Report::Hosts(Directory::change(self.schedule, departure)));
+                self.report(process, Report::List(Directory::change(self.schedule, departure)));
             }
         }
     }
@@ -427,7 +434,7 @@
         (p.watch, p.opened) = (None, None);
         p.told.watch_given_up(now);
         let silent = Duration::from_micros(silent.0 as u64);
-        self.report(process, Report::WatchFailed { silent, failure });
+        self.report(process, Report::WatchFailed { incomplete_for: silent, failure });
     }
 
     fn silence_watch(&mut self, process: usize) {
--- a/crates/emulator/tests/stale_lists/schedule.rs
+++ b/crates/emulator/tests/stale_lists/schedule.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::{ANSWER_LINES, CALL_TIME};
 use garnettally_emulator::draw::Stream;
-use garnettally_model::{Listed, Micros};
+use garnettally_model::{ListedState, Micros};
 use std::fmt;
 
 pub const SECOND: i64 = 1_000_000;
@@ -66,7 +66,7 @@
     pub upstream: usize,
     pub at: Micros,
     /// As what it is listed from then on: draining or gone.
-    pub listed: Listed,
+    pub listed: ListedState,
     pub mode: LeavingMode,
 }
 
@@ -245,10 +245,10 @@
         let count = (part * self.upstreams as f64).ceil() as usize;
         for upstream in random.some(count, self.upstreams) {
             let at = between.0 + Micros((random.unit() * (between.1 - between.0).0 as f64) as i64);
-            let listed = if random.chance(0.7) { Listed::Draining } else { Listed::Gone };
+            let listed = if random.chance(0.7) { ListedState::Draining } else { ListedState::Removed };
             let drawn = match random.place(3) {
                 0 => LeavingMode::GoesOnServing,
-                1 if listed == Listed::Gone => LeavingMode::Unreachable,
+                1 if listed == ListedState::Removed => LeavingMode::Unreachable,
                 _ => LeavingMode::Declines,
             };
             self.departures.push(Departure { upstream, at, listed, mode: mode.unwrap_or(drawn) });
--- a/crates/emulator/tests/standstill.rs
+++ b/crates/emulator/tests/standstill.rs
@@ -131,11 +131,16 @@
     }
 
     fn answered(&mut self, now: Micros) -> bool {
-        asks(&self.report(now, Report::Hosts(HostList { seq: 1, whole: false, hosts: Vec::new() })))
+        asks(&self.report(now, Report::List(HostList { seq: 1, whole: false, hosts: Vec::new() })))
     }
 
     fn failed(&mut self, now: Micros) -> bool {
-        asks(&self.report(now, Report::WatchFailed { silent: Duration::ZERO, failure: CallFailure::Busy }))
+        asks(
+            &self.report(
+                now,
+                Report::WatchFailed { incomplete_for: Duration::ZERO, failure: CallFailure::Busy },
+            ),
+        )
     }
 
     fn next_wake(&self) -> Option<Micros> {
@@ -156,11 +161,11 @@
 
 fn decisions(instances: u32, seed: u64, now: Micros) -> Box<dyn Caller> {
     let classes = vec![Class::default()];
-    let settings = Settings { classes, instances, must_ask: true, ..Settings::default() };
+    let settings = Settings { classes, instances, watch_on_request: true, ..Settings::default() };
     let names = Names::new(vec!["look".to_string()], Vec::new(), Vec::new(), Vec::new());
     let mut module = Decisions::new(Site { settings, names }, seed, now);
     // The program starts with the list of its configuration; the module names its first timer then.
-    let first = module.report(now, Report::Known(HostList { seq: 0, whole: true, hosts: Vec::new() }));
+    let first = module.report(now, Report::InitialList(HostList { seq: 0, whole: true, hosts: Vec::new() }));
     assert!(!asks(&first), "it asks before its first pause");
     Box::new(module)
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -1,6 +1,6 @@
 //! The emulator against what theory and its own rules say.
 
-use garnettally_decisions::facade::{Ask, Decision, Micros, Report as News, RequestId, ServerId};
+use garnettally_decisions::facade::{Decision, Micros, PickRequest, Report as News, RequestId, ServerId};
 use garnettally_emulator::day;
 use garnettally_emulator::draw::Stream;
 use garnettally_emulator::events::Events;
@@ -248,7 +248,7 @@
 }
 
 impl Policy for Mutant {
-    fn pick(&mut self, now: Micros, ask: Ask) -> Vec<Decision> {
+    fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         let decisions = self.inner.pick(now, ask);
         self.change(decisions)
     }
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The platform's discovery: the whole list, and watches on what changes.
 
 use crate::{Due, Fleet};
-use garnettally_model::{Listed, Micros};
+use garnettally_model::{ListedState, Micros};
 use httparse::Status;
 
 impl Fleet {
@@ -23,7 +23,7 @@
         if !path.starts_with("/v1/endpoints") {
             return self.send(id, b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         }
-        let all: Vec<(usize, Listed)> =
+        let all: Vec<(usize, ListedState)> =
             (0..self.places.len()).map(|n| (n, self.places[n].listed())).collect();
         let list = self.list_of(&all, true);
         if path.contains("stream=1") {
@@ -38,13 +38,13 @@
         }
     }
 
-    fn list_of(&self, nodes: &[(usize, Listed)], whole: bool) -> String {
-        let hosts = nodes.iter().filter(|(_, state)| !whole || *state != Listed::Gone).map(|&(n, state)| {
+    fn list_of(&self, nodes: &[(usize, ListedState)], whole: bool) -> String {
+        let hosts = nodes.iter().filter(|(_, state)| !whole || *state != ListedState::Removed).map(|&(n, state)| {
             let p = &self.places[n];
             let health = match state {
-                Listed::Ready => "SERVING",
-                Listed::Draining => "DRAINING",
-                Listed::Gone => "DELETED",
+                ListedState::Ready => "SERVING",
+                ListedState::Draining => "DRAINING",
+                ListedState::Removed => "DELETED",
             };
             serde_json::json!({
                 "host": p.name, "dial": p.address.to_string(), "site": self.world.zones[p.zone], "class": "node",
@@ -55,21 +55,21 @@
     }
 
     /// Has the watches told of a node, after the list's delay.
-    pub(crate) fn announce(&mut self, n: usize, state: Listed) {
+    pub(crate) fn announce(&mut self, n: usize, state: ListedState) {
         let delay = self.world.tiers[0].list.delay;
         let wait = delay.draw(&mut self.list);
         let at = self.now() + wait;
         self.ask(at, Due::Told(n, state));
     }
 
-    pub(crate) fn told(&mut self, n: usize, state: Listed) {
+    pub(crate) fn told(&mut self, n: usize, state: ListedState) {
         if self.stale {
             return self.held_news.push((n, state));
         }
         self.seq += 1;
         let line = chunk(&self.list_of(&[(n, state)], false));
         let now = self.now();
-        self.places[n].told_drained = (state != Listed::Ready).then_some(now);
+        self.places[n].told_drained = (state != ListedState::Ready).then_some(now);
         self.tell_watches(&line);
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -82,7 +82,7 @@
     Fault(usize, bool),
     Stop(usize),
     Warm(usize),
-    Told(usize, garnettally_model::Listed),
+    Told(usize, garnettally_model::ListedState),
     Ping,
 }
 
@@ -144,7 +144,7 @@
     late: Duration,
     late_reports: Micros,
     stale: bool,
-    held_news: Vec<(usize, garnettally_model::Listed)>,
+    held_news: Vec<(usize, garnettally_model::ListedState)>,
     scratch: Vec<u8>,
     names: Vec<String>,
 }
--- a/crates/fleet/src/nodes.rs
+++ b/crates/fleet/src/nodes.rs
@@ -4,7 +4,7 @@
 use garnettally_emulator::draw::Stream;
 use garnettally_emulator::node::{Brought, Build, Node, Thrash};
 use garnettally_emulator::world::{Repeat, What};
-use garnettally_model::{Listed, Micros};
+use garnettally_model::{ListedState, Micros};
 use httparse::Status;
 use std::net::SocketAddr;
 
@@ -40,22 +40,22 @@
         !self.stopped && self.connections < most
     }
 
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ListedState {
         match (self.stopped, self.draining) {
-            (true, _) => Listed::Gone,
-            (_, true) => Listed::Draining,
-            _ => Listed::Ready,
+            (true, _) => ListedState::Removed,
+            (_, true) => ListedState::Draining,
+            _ => ListedState::Ready,
         }
     }
 
     pub fn view(&self) -> NodeView {
         let state = match self.listed() {
-            Listed::Gone => "gone",
-            Listed::Draining => "draining",
-            Listed::Ready if self.hung => "hung",
-            Listed::Ready if self.fast_errors + self.spoilt > 0.0 => "failing",
-            Listed::Ready if self.slow > 1.0 => "slow",
-            Listed::Ready => "ready",
+            ListedState::Removed => "gone",
+            ListedState::Draining => "draining",
+            ListedState::Ready if self.hung => "hung",
+            ListedState::Ready if self.fast_errors + self.spoilt > 0.0 => "failing",
+            ListedState::Ready if self.slow > 1.0 => "slow",
+            ListedState::Ready => "ready",
         };
         NodeView { name: self.name.clone(), held: self.node.held(), answered: self.answered, state }
     }
@@ -314,7 +314,7 @@
             self.conns.iter().filter(|(_, c)| c.party == crate::Party::Node(n)).map(|(&id, _)| id).collect();
         mine.into_iter().for_each(|id| self.close(id));
         self.set_speed(n);
-        self.announce(n, Listed::Gone);
+        self.announce(n, ListedState::Removed);
     }
 
     fn start_node(&mut self, n: usize) {
@@ -324,7 +324,7 @@
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         p.since_ms = unix.as_millis() as u64;
         self.warm(n);
-        self.announce(n, Listed::Ready);
+        self.announce(n, ListedState::Ready);
     }
 
     pub(crate) fn fault(&mut self, i: usize, begins: bool) {
@@ -355,7 +355,7 @@
                 for n in nodes {
                     if begins {
                         self.places[n].draining = true;
-                        self.announce(n, Listed::Draining);
+                        self.announce(n, ListedState::Draining);
                         let at = self.now() + Micros(1_000_000);
                         self.ask(at, Due::Stop(n));
                     } else {
@@ -373,7 +373,7 @@
             }
             What::LyingList => {
                 for n in nodes {
-                    self.announce(n, if begins { Listed::Gone } else { Listed::Ready });
+                    self.announce(n, if begins { ListedState::Removed } else { ListedState::Ready });
                 }
             }
             // The balancers are processes of their own here: the drill has them die and stand still.
--- a/crates/model/src/interface.rs
+++ b/crates/model/src/interface.rs
@@ -43,7 +43,7 @@
 
 /// Which servers drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -60,7 +60,7 @@
     /// Repeats are dropped by one group of servers for a time counted from the first send.
     Keyed {
         /// The group.
-        group: Group,
+        scope: DedupScope,
         /// For how long they remember.
         window: Micros,
     },
@@ -113,7 +113,7 @@
     /// Instances in this tier, this one included.
     pub instances: u32,
     /// This one's number among them, from 0.
-    pub me: u32,
+    pub instance_index: u32,
     /// The shortest time between two events.
     pub resolution: Micros,
     /// An idle connection is closed after this.
@@ -133,16 +133,16 @@
     /// Worth counts per unit of work (else per request).
     pub worth_by_work: bool,
     /// Discovery must be asked (else it pushes).
-    pub must_ask: bool,
+    pub watch_on_request: bool,
     /// Not asking for this long counts as being told, where discovery must be asked.
-    pub ask_within: Micros,
+    pub watch_request_within: Micros,
     /// Without a watch, a list may be gone by for so long after discovery could have been asked; `None`: for as long as
     /// discovery is asked in vain.
     pub list_lease: Option<Micros>,
     /// `Units` of a server tell its size.
-    pub units_tell_size: bool,
+    pub weight_by_units: bool,
     /// Two attempts of one request may be in flight together.
-    pub parallel_tries: bool,
+    pub parallel_attempts: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Most attempts of one request.
@@ -156,18 +156,18 @@
     /// And is warm after this time.
     pub ramp_time: Micros,
     /// The window over which too much work tips a cold server over.
-    pub tip_after: Micros,
+    pub cold_overload_window: Micros,
     /// How long a key rests after an attempt that may run still ([`Class::keep_order`]).
-    pub key_rest: Micros,
+    pub key_pause: Micros,
     /// Only being listed as draining binds: a server that is called gone, or left out, may be sent to.
-    pub drain_binds_alone: bool,
+    pub removal_is_advisory: bool,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
             instances: 1,
-            me: 0,
+            instance_index: 0,
             resolution: Micros(1_000),
             idle_close: Micros(15_000_000),
             crossing_price: 0.0,
@@ -177,38 +177,38 @@
             tenant_quota: Vec::new(),
             over_share_worth: 1.0,
             worth_by_work: false,
-            must_ask: false,
-            ask_within: Micros(10_000_000),
+            watch_on_request: false,
+            watch_request_within: Micros(10_000_000),
             list_lease: Some(Micros(6_000_000)),
-            units_tell_size: false,
-            parallel_tries: false,
+            weight_by_units: false,
+            parallel_attempts: false,
             may_cancel: false,
             max_attempts: 3,
             retry_after: false,
             max_retry_after: Micros(0),
             cold_share: 0.1,
             ramp_time: Micros(10_000_000),
-            tip_after: Micros(3_000_000),
-            key_rest: Micros(0),
-            drain_binds_alone: false,
+            cold_overload_window: Micros(3_000_000),
+            key_pause: Micros(0),
+            removal_is_advisory: false,
         }
     }
 }
 
 /// What discovery says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// It takes work.
     Ready,
     /// It finishes what it has.
     Draining,
     /// It has left.
-    Gone,
+    Removed,
 }
 
 /// One entry of discovery's news.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerNews {
+pub struct ServerEntry {
     /// Which server.
     pub server: ServerId,
     /// Its zone.
@@ -218,33 +218,33 @@
     /// Its cell.
     pub cell: i64,
     /// A number that spreads servers evenly and is the same at every instance: a hash of the name, say.
-    pub key: u64,
+    pub ring_key: u64,
     /// Its state.
-    pub state: Listed,
-    /// Its size, as [`Settings::units_tell_size`] says.
+    pub state: ListedState,
+    /// Its size, as [`Settings::weight_by_units`] says.
     pub units: f64,
     /// When it last started; `None`: long ago.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
-impl Default for ServerNews {
+impl Default for ServerEntry {
     fn default() -> Self {
-        ServerNews {
+        ServerEntry {
             server: ServerId(0),
             zone: 0,
             kind: 0,
             cell: 0,
-            key: 0,
-            state: Listed::Ready,
+            ring_key: 0,
+            state: ListedState::Ready,
             units: 1.0,
-            since: None,
+            started_at: None,
         }
     }
 }
 
 /// The form of discovery's news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum ListForm {
     /// Changed entries only.
     Delta,
     /// The whole list.
@@ -298,9 +298,9 @@
 
 /// A server's load report; absent values are not known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 /// The end of one attempt.
@@ -315,66 +315,66 @@
     /// Time since the send.
     pub latency: Micros,
     /// So much of that may be this process's own doing: it was held up, and did not look at its sockets.
-    pub held_up: Micros,
+    pub local_delay: Micros,
     /// The request is finished.
-    pub terminal: bool,
+    pub is_final: bool,
     /// The server's report, if one came along.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// What other instances have found out about a server, as far as this one is to go by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hearsay {
+pub struct PeerVerdict {
     /// The server.
     pub server: ServerId,
     /// For this class alone; `None`: as a whole.
     pub class: Option<ClassId>,
     /// How bad it is, 0 to 1; 0: nobody says so any more.
-    pub bad: f64,
+    pub severity: f64,
     /// When it was found, at the earliest.
-    pub at: Micros,
+    pub found_at: Micros,
     /// It is this instance that tries whether the server is well again.
-    pub tries: bool,
+    pub probes_here: bool,
 }
 
 /// What an instance has found out by its own calls.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Findings {
+pub struct LocalObservations {
     /// How many servers it sends to: all that are ready, or its subset of them.
-    pub sends_to: usize,
+    pub servers_in_use: usize,
     /// Of those that it has had doubts about.
-    pub opinions: Vec<Opinion>,
+    pub servers: Vec<ServerObservation>,
 }
 
 /// What an instance has found out about a server by its own calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Opinion {
+pub struct ServerObservation {
     /// The server.
     pub server: ServerId,
     /// When it last started.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// For this class alone; `None`: as a whole.
     pub class: Option<ClassId>,
     /// How bad it is, 0 to 1; 0: it is not ejected, or not by what was found here.
-    pub bad: f64,
+    pub severity: f64,
     /// The outlier score, whether or not it is ejected for it.
-    pub score: f64,
+    pub outlier_score: f64,
     /// It has answered this instance in its present life: the way there has worked.
-    pub answered: bool,
+    pub has_answered: bool,
     /// The last call got no connection.
-    pub unreachable: bool,
+    pub is_unreachable: bool,
     /// For how long a call has been out there with nothing answered since, as a part of the time after which this
     /// instance speaks against it by itself; 0: none is.
-    pub silent: f64,
+    pub overdue_share: f64,
     /// When a call last ended there, or was overdue.
-    pub at: Micros,
+    pub last_ended_at: Micros,
     /// When it last answered well.
-    pub ok_at: Micros,
+    pub last_ok_at: Micros,
 }
 
 /// Whatever discovery has to tell counts as told so long after it had it and could be reached, on sockets, whether or not it was
 /// heard (the operators' standing test).
-pub const TOLD_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
+pub const NOTIFIED_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
 
 /// What was seen of a call to discovery that failed, or of a watch that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -411,19 +411,19 @@
     /// News from discovery.
     List {
         /// Its form.
-        form: Form,
+        form: ListForm,
         /// Its entries.
-        entries: &'a [ServerNews],
+        entries: &'a [ServerEntry],
     },
     /// The watch on discovery has ended, or could not be had.
-    Unwatched {
+    WatchFailed {
         /// Up to then, what it had to tell has come.
-        since: Micros,
+        complete_until: Micros,
         /// How it failed.
         failure: CallFailure,
     },
     /// The head of discovery's answer has come; the list is still to come.
-    DiscoveryAnswers,
+    DiscoveryAnswerStarted,
     /// Discovery is at another address from now on; the watch on the old one has ended.
     DiscoveryMoved,
     /// The clock that lists date starts by is so far ahead of this instance's own, which never steps; below 0: behind.
@@ -436,9 +436,9 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client went away.
-    Gone(RequestId),
+    ClientLeft(RequestId),
     /// Other instances speak of a server.
-    Hearsay(Hearsay),
+    PeerVerdict(PeerVerdict),
     /// A timer is due.
     Timer(u64),
 }
--- a/crates/model/src/listing.rs
+++ b/crates/model/src/listing.rs
@@ -1,6 +1,6 @@
 //! What a source of nodes tells: the seam between registries and everything else.
 
-use crate::interface::{Listed, Micros};
+use crate::interface::{ListedState, Micros};
 use std::net::SocketAddr;
 
 /// One entry of a host list.
@@ -15,11 +15,11 @@
     /// Its cell.
     pub cell: i64,
     /// Its state.
-    pub state: Listed,
+    pub state: ListedState,
     /// Its size.
     pub units: f64,
     /// When it last started; `None`: long ago.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// A host list, whole or in part.
--- a/crates/model/src/names.rs
+++ b/crates/model/src/names.rs
@@ -46,18 +46,18 @@
         self.tenants.iter().position(|t| t == name).map(|at| TenantId(at as u32))
     }
 
-    /// The name of a server that [`Names::news`] has met.
+    /// The name of a server that [`Names::register`] has met.
     pub fn server(&self, id: ServerId) -> &str {
         self.server_names.get(id.0 as usize).map_or("", String::as_str)
     }
 
-    /// The number of a server that [`Names::news`] has met.
+    /// The number of a server that [`Names::register`] has met.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.servers.get(name).copied()
     }
 
     /// A list's entry as the module takes it.
-    pub fn news(&mut self, l: &Listing) -> ServerNews {
+    pub fn register(&mut self, l: &Listing) -> ServerEntry {
         let server = match self.servers.get(&l.name) {
             Some(&id) => id,
             None => {
@@ -68,10 +68,19 @@
             }
         };
         // Without a zone or kind it is open to no class that is bound to some.
-        let zone = l.zone.as_deref().map_or(u32::MAX, |z| dense(&mut self.zones, z));
-        let kind = l.kind.as_deref().map_or(u32::MAX, |k| dense(&mut self.kinds, k));
-        let key = hash(&l.name);
-        ServerNews { server, zone, kind, cell: l.cell, key, state: l.state, units: l.units, since: l.since }
+        let zone = l.zone.as_deref().map_or(u32::MAX, |z| dense_index(&mut self.zones, z));
+        let kind = l.kind.as_deref().map_or(u32::MAX, |k| dense_index(&mut self.kinds, k));
+        let ring_key = hash(&l.name);
+        ServerEntry {
+            server,
+            zone,
+            kind,
+            cell: l.cell,
+            ring_key,
+            state: l.state,
+            units: l.units,
+            started_at: l.started_at,
+        }
     }
 }
 
@@ -82,12 +91,12 @@
 }
 
 /// The number that a key's 16 hex digits write; of another text its hash.
-pub fn key(text: &str) -> KeyId {
+pub fn key_id(text: &str) -> KeyId {
     KeyId(u64::from_str_radix(text, 16).unwrap_or_else(|_| hash(text)))
 }
 
 /// The place of a name among those met.
-pub fn dense(known: &mut Vec<String>, name: &str) -> u32 {
+pub fn dense_index(known: &mut Vec<String>, name: &str) -> u32 {
     let at = known.iter().position(|k| k == name).unwrap_or_else(|| {
         known.push(name.to_string());
         known.len() - 1
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -5,7 +5,7 @@
 //! own: a node is down once so many attempts in a row have failed there, until one succeeds or the mark is old. Old
 //! marks go because a pool that is left brings no news of its nodes.
 
-use garnettally_model::{Code, Listed, Micros, ServerId};
+use garnettally_model::{Code, ListedState, Micros, ServerId};
 use rustc_hash::FxHashMap;
 
 /// Failures in a row that mark a node as down: one may be the request's fault.
@@ -31,16 +31,16 @@
     pub fn keep_listed(&mut self, keep: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let gone: Vec<ServerId> = self.listed.keys().copied().filter(|id| !keep(*id)).collect();
         for &id in &gone {
-            self.list(id, Listed::Gone);
+            self.list(id, ListedState::Removed);
         }
         gone
     }
 
     /// Takes in one entry of a list.
-    pub fn list(&mut self, id: ServerId, state: Listed) {
-        let ready = state == Listed::Ready;
+    pub fn list(&mut self, id: ServerId, state: ListedState) {
+        let ready = state == ListedState::Ready;
         let before = match state {
-            Listed::Gone => self.listed.remove(&id).map(|(was, _)| was),
+            ListedState::Removed => self.listed.remove(&id).map(|(was, _)| was),
             _ => {
                 let mark = self.listed.get(&id).map(|(_, mark)| *mark).unwrap_or_default();
                 self.listed.insert(id, (ready, mark)).map(|(was, _)| was)
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -7,7 +7,7 @@
 use garnettally_config::file::format::LogRequests;
 use garnettally_config::file::Operator;
 use garnettally_decisions::facade::{ClassId, Effect, KeyId, Micros, TenantId};
-use garnettally_model::key;
+use garnettally_model::key_id;
 use garnettally_routing::budget::HolderId;
 use garnettally_routing::failover;
 use garnettally_routing::pattern::Subject;
@@ -155,7 +155,7 @@
             deadline: call.deadline,
             cost: call.cost,
             repeat: call.repeat,
-            subject: call.subject.map(key),
+            subject: call.subject.map(key_id),
             pool: pool.id,
             others: Vec::new(),
             route: None,
@@ -260,7 +260,7 @@
             deadline: Duration::from_micros(deadline.0.max(0) as u64),
             cost,
             repeat,
-            subject: key_text.as_deref().map(key),
+            subject: key_text.as_deref().map(key_id),
             pool,
             others,
             mirror: route
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -77,7 +77,7 @@
 impl Ended {
     fn report(self, now: Instant) -> Report {
         let silent = self.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        Report::WatchFailed { silent, failure: self.failure }
+        Report::WatchFailed { incomplete_for: silent, failure: self.failure }
     }
 }
 
@@ -130,7 +130,7 @@
     /// How the watch stands, for a module that takes it over; `None`: its call is out, or none was made yet.
     pub fn standing(&self, now: Instant) -> Option<Report> {
         match self.watch {
-            Some(_) => self.watched().map(Report::Hosts),
+            Some(_) => self.watched().map(Report::List),
             None => self.ended.map(|ended| ended.report(now)),
         }
     }
@@ -274,14 +274,14 @@
     /// The head of an answer has come.
     fn discovery_answers(&mut self, pool: PoolId) {
         for p in self.pools.told_by(pool) {
-            p.queue(Report::DiscoveryAnswers, Instant::now());
+            p.queue(Report::DiscoveryAnswerStarted, Instant::now());
         }
     }
 
     /// Has a pool, and those that hear with it, told of a list.
     fn tell_of_hosts(&mut self, pool: PoolId, list: HostList) {
         for p in self.pools.told_by(pool) {
-            p.queue(Report::Hosts(list.clone()), Instant::now());
+            p.queue(Report::List(list.clone()), Instant::now());
         }
     }
 
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::upstreams::{Attempt, Ended, Target};
 use crate::{ConnId, Proxy};
 use garnettally_config::file::format::LogRequests;
-use garnettally_decisions::facade::{Ask, Code, Decision, ListStanding, Micros, Report, RequestId};
+use garnettally_decisions::facade::{Code, Decision, ListStanding, Micros, PickRequest, Report, RequestId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slog::{debug, info};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     id: String,
     pool: PoolId,
     /// What the module is asked.
-    ask: Ask,
+    ask: PickRequest,
     request: Rc<Request>,
     /// Attempts so far, and those of them that are out.
     sends: u32,
@@ -63,7 +63,7 @@
 
 /// What the module is to hear of at its next turn.
 pub enum News {
-    Asked(Ask),
+    Asked(PickRequest),
     Known(Report),
 }
 
@@ -180,7 +180,7 @@
         let micros = |d: Duration| Micros(d.as_micros() as i64);
         let expires = self.net.clock.at(now) + micros(a.deadline);
         let number = self.exchanges.number();
-        let ask = Ask {
+        let ask = PickRequest {
             request: number,
             class: a.class,
             tenant: a.tenant,
@@ -255,7 +255,7 @@
         if self.exchanges.conclude(request).is_some() {
             self.log_request(request, "gone", None, None, None);
             self.drop_unwritten(request);
-            self.queue_for(request, Report::Gone(request));
+            self.queue_for(request, Report::ClientLeft(request));
         }
     }
 
@@ -333,7 +333,15 @@
             "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
         let held = ended.answer.as_ref().and_then(|a| a.held);
         let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
-        let report = Report::Ended { request, attempt, code, latency, held_up, held, answered };
+        let report = Report::Ended {
+            request,
+            attempt,
+            code,
+            latency,
+            local_delay: held_up,
+            upstream_in_flight: held,
+            answered,
+        };
         self.queue_for(request, report);
         if passed.is_some() {
             self.drop_unwritten(request);
@@ -382,7 +390,7 @@
         let Some(pool) = self.pools.get_mut(id) else { return };
         for news in pool.take_news() {
             let ended = match &news {
-                News::Known(Report::Ended { request, .. } | Report::Gone(request)) => Some(*request),
+                News::Known(Report::Ended { request, .. } | Report::ClientLeft(request)) => Some(*request),
                 _ => None,
             };
             let decisions = match news {
@@ -423,7 +431,7 @@
                     }
                 }
                 Decision::Watch => self.start_watch(pool),
-                Decision::Note(text) => info!(self.net.log, "{}", text),
+                Decision::Log(text) => info!(self.net.log, "{}", text),
             }
         }
     }
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -10,7 +10,7 @@
 use garnettally_config::file::Fleet as Settings;
 use garnettally_decisions::facade::{Decisions, Micros, ServerId};
 use garnettally_link::{Link, LinkError, LinkSettings};
-use garnettally_model::Hearsay;
+use garnettally_model::PeerVerdict;
 use garnettally_peers::{Event, Fact, Identity, Rejected, State};
 use garnettally_verdicts::{hash, merge, Claim, Exchange, Prior, Said, Subject, View, What};
 use rustc_hash::FxHashMap;
@@ -187,23 +187,23 @@
         now: Instant,
         at: Micros,
         pools: &[Seen<'_>],
-    ) -> Vec<(PoolId, Hearsay)> {
+    ) -> Vec<(PoolId, PeerVerdict)> {
         (self.look_at, self.is_postponed) = (now + LOOK, false);
         self.exchanges.retain(|id, _| pools.iter().any(|p| p.id == *id));
         let max_age = Micros(self.settings.max_age.as_micros() as i64);
         for p in pools {
             let e = self.exchanges.entry(p.id).or_insert_with(|| Exchange::new(p.name, p.classes));
             let name = |id: ServerId| p.decisions.upstream_name(id);
-            for n in e.met()..p.decisions.met() {
+            for n in e.met()..p.decisions.upstream_count() {
                 let name = name(ServerId(n as u32));
                 self.names.insert((e.pool(), hash(name)), name.to_string());
             }
-            e.meet(p.decisions.met(), &name);
+            e.meet(p.decisions.upstream_count(), &name);
             self.names.entry((0, e.pool())).or_insert_with(|| p.name.to_string());
             for class in p.classes {
                 self.names.entry((0, hash(class))).or_insert_with(|| class.to_string());
             }
-            let findings = p.decisions.findings(at);
+            let findings = p.decisions.local_observations(at);
             for (key, value, age) in e.speak(at, &findings, max_age, name) {
                 self.link.publish(&key, &value, Duration::from_micros(age.0.max(0) as u64));
             }
@@ -218,7 +218,7 @@
         let mut heard = Vec::new();
         for p in pools {
             if let Some(e) = self.exchanges.get_mut(&p.id) {
-                let told = e.hear(at, &priors, |id| p.decisions.started(id));
+                let told = e.hear(at, &priors, |id| p.decisions.upstream_started_at(id));
                 for h in &told {
                     self.log_verdict(log, p, h, &said);
                 }
@@ -244,7 +244,7 @@
     }
 
     /// Writes what this process goes by from now on, with what each member says of the node, and how old that is.
-    fn log_verdict(&self, log: &Logger, pool: &Seen<'_>, heard: &Hearsay, said: &[Said]) {
+    fn log_verdict(&self, log: &Logger, pool: &Seen<'_>, heard: &PeerVerdict, said: &[Said]) {
         let name = pool.decisions.upstream_name(heard.server);
         let (of, node) = (hash(pool.name), hash(name));
         let members = self.member_names();
@@ -258,8 +258,8 @@
             })
             .collect();
         let class = heard.class.and_then(|c| pool.classes.get(c.0 as usize)).map_or("", String::as_str);
-        info!(log, "a verdict"; "pool" => pool.name, "node" => name, "class" => class, "bad" => heard.bad,
-            "tries" => heard.tries, "said" => voices.join(", "));
+        info!(log, "a verdict"; "pool" => pool.name, "node" => name, "class" => class, "bad" => heard.severity,
+            "tries" => heard.probes_here, "said" => voices.join(", "));
     }
 
     /// The names of members by their lives.
@@ -277,7 +277,7 @@
             .map(|(id, state)| (id.boot, (id.zone == me.zone, state != State::Down)))
             .collect();
         let nodes: FxHashMap<u64, usize> =
-            pools.iter().map(|p| (hash(p.name), p.decisions.ready())).collect();
+            pools.iter().map(|p| (hash(p.name), p.decisions.ready_count())).collect();
         let view = View {
             me: me.boot,
             same_zone: &|member| members.get(&member).map(|m| m.0),
--- a/crates/serve/src/held_list.rs
+++ b/crates/serve/src/held_list.rs
@@ -1,7 +1,7 @@
 //! The list of hosts as discovery has told it so far.
 
-use garnettally_decisions::facade::Listed;
-use garnettally_model::{HostList, Listing, Micros, TOLD_AFTER};
+use garnettally_decisions::facade::ListedState;
+use garnettally_model::{HostList, Listing, Micros, NOTIFIED_AFTER};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -69,7 +69,7 @@
 
     /// Hosts that were held back, and that the service still lists long enough after they left to know better, as a change.
     pub fn release(&mut self, now: Instant) -> Option<HostList> {
-        self.departures.retain(|_, d| now < d.told + TOLD_AFTER);
+        self.departures.retain(|_, d| now < d.told + NOTIFIED_AFTER);
         let departures = &self.departures;
         let (kept, released): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.held_back)
             .into_iter()
@@ -100,16 +100,16 @@
         for (name, (listing, dial)) in &mut self.hosts {
             let state = match named.get(name.as_str()) {
                 Some(told) => told.state,
-                None if list.whole => Listed::Gone,
+                None if list.whole => ListedState::Removed,
                 None => continue,
             };
-            if listing.state == Listed::Ready && state != Listed::Ready {
+            if listing.state == ListedState::Ready && state != ListedState::Ready {
                 listing.state = state;
                 left.push((listing.clone(), *dial));
             }
         }
         left.iter().for_each(|(listing, _)| self.note_departure(listing, now));
-        self.hosts.retain(|_, (listing, _)| listing.state != Listed::Gone);
+        self.hosts.retain(|_, (listing, _)| listing.state != ListedState::Removed);
         HostList { seq: self.version, whole: false, hosts: left }
     }
 
@@ -122,16 +122,16 @@
         let mut applied = list.clone();
         for (listing, dial) in &mut applied.hosts {
             self.held_back.remove(&listing.name);
-            if listing.state != Listed::Ready {
+            if listing.state != ListedState::Ready {
                 self.note_departure(listing, now);
             } else if self.left_elsewhere(listing, as_of) {
                 self.held_back.insert(listing.name.clone(), (listing.clone(), *dial));
-                listing.state = Listed::Draining;
+                listing.state = ListedState::Draining;
             } else {
                 self.forget_departure(listing);
             }
             match listing.state {
-                Listed::Gone => self.hosts.remove(&listing.name),
+                ListedState::Removed => self.hosts.remove(&listing.name),
                 _ => self.hosts.insert(listing.name.clone(), (listing.clone(), *dial)),
             };
         }
@@ -151,7 +151,7 @@
 
     /// The earliest time that it was told counts.
     fn note_departure(&mut self, listing: &Listing, now: Instant) {
-        let (told, service, born) = (now, self.service, listing.since);
+        let (told, service, born) = (now, self.service, listing.started_at);
         let departure = self.departures.entry(listing.name.clone());
         departure.and_modify(|d| (d.service, d.born) = (service, born)).or_insert(Departure {
             told,
@@ -162,17 +162,17 @@
 
     /// The service that told of a host's leave lists the same life of it as serving again.
     fn forget_departure(&mut self, listing: &Listing) {
-        let told_here = |d: &Departure| d.service == self.service && d.born == listing.since;
+        let told_here = |d: &Departure| d.service == self.service && d.born == listing.started_at;
         if self.departures.get(&listing.name).is_some_and(told_here) {
             self.departures.remove(&listing.name);
         }
     }
 
     /// Whether another service told that this life of a host had ended, so short a while ago that the present one need not
-    /// know of it: what one had at some time, every one tells after [`TOLD_AFTER`].
+    /// know of it: what one had at some time, every one tells after [`NOTIFIED_AFTER`].
     fn left_elsewhere(&self, listing: &Listing, as_of: Instant) -> bool {
         self.departures.get(&listing.name).is_some_and(|d| {
-            d.service != self.service && d.born == listing.since && as_of < d.told + TOLD_AFTER
+            d.service != self.service && d.born == listing.started_at && as_of < d.told + NOTIFIED_AFTER
         })
     }
 
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -312,7 +312,7 @@
         self.share_pools(share);
         for (id, hearsay) in heard {
             if let Some(pool) = self.pools.get_mut(id) {
-                pool.queue(Report::Heard(hearsay), now);
+                pool.queue(Report::PeerVerdict(hearsay), now);
             }
         }
     }
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -9,7 +9,7 @@
 use crate::{Proxy, Shared};
 use garnettally_config::file::{Basis, Nodes};
 use garnettally_decisions::facade::{
-    Code, Decision, Decisions, ListStanding, Listed, Micros, Report, ServerId,
+    Code, Decision, Decisions, ListStanding, ListedState, Micros, Report, ServerId,
 };
 use garnettally_model::HostList;
 use garnettally_routing::budget::HolderId;
@@ -86,7 +86,7 @@
         let new = self.shared_by_fleet.is_some_and(|before| before.0 != share.0);
         if new {
             self.shared_by_fleet = Some(share);
-            self.decisions.share(share.0, share.1);
+            self.decisions.set_instances(share.0, share.1);
         }
         new
     }
@@ -127,7 +127,7 @@
     let settings = &plan.site.settings;
     let known = plan.known.as_ref().map_or(0, |list| list.seq);
     info!(log, "terms of the list of upstreams"; "tier" => settings.tier, "instances" => settings.instances,
-        "ask_within_ms" => milliseconds(settings.ask_within),
+        "ask_within_ms" => milliseconds(settings.watch_request_within),
         "lease_ms" => settings.list_lease.map(milliseconds),
         "connect_ms" => plan.connect.as_millis(), "known" => known);
 }
@@ -214,7 +214,7 @@
         let mut pool = Pool {
             id,
             name: plan.name,
-            drain_binds_alone: plan.site.settings.drain_binds_alone,
+            drain_binds_alone: plan.site.settings.removal_is_advisory,
             decisions: Decisions::new(plan.site, seed, at),
             source,
             told_with: None,
@@ -240,10 +240,10 @@
         let nothing = || HostList { seq: 0, whole: true, hosts: Vec::new() };
         let known = plan.known.or_else(|| matches!(pool.source, Source::Watch(_)).then(nothing));
         if let Some(known) = known {
-            pool.queue(Report::Known(known), now);
+            pool.queue(Report::InitialList(known), now);
         }
         if let Some(list) = told {
-            pool.queue(Report::Hosts(list), now);
+            pool.queue(Report::List(list), now);
         }
         self.pools.all.insert(id, pool);
         id
@@ -272,9 +272,9 @@
             nodes => {
                 let (source, told) = Source::new(nodes, now);
                 if let Some(Nodes::Static(hosts)) = Some(nodes) {
-                    pool.queue(Report::Hosts(whole(hosts.clone())), now);
+                    pool.queue(Report::List(whole(hosts.clone())), now);
                 } else if let Some(list) = told {
-                    pool.queue(Report::Hosts(list), now);
+                    pool.queue(Report::List(list), now);
                 }
                 pool.source = source;
                 pool.nodes = Some(plan.nodes);
@@ -325,8 +325,8 @@
         let Some(pool) = self.pools.get_mut(id) else { return Vec::new() };
         let (hint, mut found, mut left) = (pool.drain_binds_alone, Vec::new(), Vec::new());
         let mut all = false;
-        if let Report::Hosts(list) | Report::Known(list) = &report {
-            all = list.whole && matches!(report, Report::Hosts(_));
+        if let Report::List(list) | Report::InitialList(list) = &report {
+            all = list.whole && matches!(report, Report::List(_));
             for (listing, dial) in &list.hosts {
                 found.push((listing.name.clone(), *dial, listing.state));
             }
@@ -342,7 +342,7 @@
         }
         // The module has numbered them; nothing it decides is carried out before they have an address.
         let number = |name: &str| pool.decisions.upstream(name);
-        let found: Vec<(ServerId, _, Listed)> =
+        let found: Vec<(ServerId, _, ListedState)> =
             found.into_iter().filter_map(|(name, dial, state)| Some((number(&name)?, dial, state))).collect();
         if all {
             let named: rustc_hash::FxHashSet<ServerId> = found.iter().map(|f| f.0).collect();
@@ -356,14 +356,14 @@
         }
         for (server, dial, state) in found {
             let target = Target { pool: id, server };
-            pool.ready |= state == Listed::Ready;
+            pool.ready |= state == ListedState::Ready;
             pool.health.list(server, state);
             if let Some(address) = dial {
                 self.upstreams.moved(&self.net, target, address);
             }
-            if state != Listed::Ready {
+            if state != ListedState::Ready {
                 self.upstreams.close_idle(&self.net, target);
-                left.extend((state == Listed::Draining || !hint).then_some(target));
+                left.extend((state == ListedState::Draining || !hint).then_some(target));
             }
         }
         for target in left {
--- a/crates/serve/src/source.rs
+++ b/crates/serve/src/source.rs
@@ -139,7 +139,7 @@
         match load_nodes(&file.path.to_string_lossy()) {
             Ok(hosts) => {
                 info!(log, "nodes read"; "pool" => &name, "nodes" => hosts.len());
-                p.queue(Report::Hosts(whole(hosts)), now);
+                p.queue(Report::List(whole(hosts)), now);
             }
             Err(problems) => {
                 warn!(log, "the file of nodes is refused: the list before it stays"; "pool" => &name,
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -92,12 +92,12 @@
     /// What an instance with these settings needs: nothing, where discovery need not be asked. Where it may be asked
     /// without a pause, it is the instance's own.
     pub fn of(settings: &Settings, seed: u64, now: Micros) -> Option<Subscription> {
-        let registry = match settings.ask_within {
+        let registry = match settings.watch_request_within {
             Micros(0) => Registry::Own,
             _ => Registry::Shared { instances: settings.instances },
         };
         let new = || Subscription::new(registry, seed, now).with_list_lease(settings.list_lease);
-        settings.must_ask.then(new)
+        settings.watch_on_request.then(new)
     }
 
     /// A process that starts now, with random numbers from this seed; its list never grows stale.
--- a/crates/subscription/tests/pace.rs
+++ b/crates/subscription/tests/pace.rs
@@ -28,12 +28,12 @@
 
 #[test]
 fn settings_tell_whether_and_whom_to_ask() {
-    let pushed = Settings { must_ask: false, ..Settings::default() };
+    let pushed = Settings { watch_on_request: false, ..Settings::default() };
     assert!(Subscription::of(&pushed, 1, Micros(0)).is_none());
-    let own = Settings { must_ask: true, ask_within: Micros(0), ..Settings::default() };
+    let own = Settings { watch_on_request: true, watch_request_within: Micros(0), ..Settings::default() };
     let own = Subscription::of(&own, 1, Micros(7)).expect("it asks");
     assert_eq!(own.next_timeout(), Some(Micros(7)));
-    let asked = Settings { must_ask: true, instances: 100, ..Settings::default() };
+    let asked = Settings { watch_on_request: true, instances: 100, ..Settings::default() };
     let firsts = (0..50).map(|seed| Subscription::of(&asked, seed, Micros(0)).expect("it asks"));
     let firsts: Vec<i64> = firsts.map(|s| s.next_timeout().expect("it waits").0).collect();
     assert!(firsts.iter().any(|&at| at < SECOND / 2) && firsts.iter().any(|&at| at > SECOND), "{firsts:?}");
--- a/crates/verdicts/src/exchange.rs
+++ b/crates/verdicts/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::claim::{hash, Claim, Subject, What};
 use crate::merge::{own_fault, Prior};
-use garnettally_model::{ClassId, Findings, Hearsay, Micros, Opinion, ServerId};
+use garnettally_model::{ClassId, LocalObservations, Micros, PeerVerdict, ServerId, ServerObservation};
 use rustc_hash::FxHashMap;
 
 /// What is to be said: key, value, and how old it is.
@@ -23,7 +23,7 @@
     nodes: Vec<u64>,
     numbers: FxHashMap<u64, ServerId>,
     spoken: FxHashMap<Subject, Spoken>,
-    told: FxHashMap<Subject, (ServerId, Option<ClassId>, Hearsay)>,
+    told: FxHashMap<Subject, (ServerId, Option<ClassId>, PeerVerdict)>,
 }
 
 /// A call that is out for this part of the time that makes one sure: five times what it was expected to take, where
@@ -40,8 +40,10 @@
 
 /// Whether this member has reason to think that a node, or the way there, is bad. More are than are ejected: of these there
 /// is a most, and a call that is out is soon called off. It lasts until the node has answered well.
-fn is_doubted(o: &Opinion) -> bool {
-    o.bad > 0.0 || o.silent >= SILENT || (o.score >= DOUBTED && o.ok_at < o.at)
+fn is_doubted(o: &ServerObservation) -> bool {
+    o.severity > 0.0
+        || o.overdue_share >= SILENT
+        || (o.outlier_score >= DOUBTED && o.last_ok_at < o.last_ended_at)
 }
 
 impl Exchange {
@@ -76,26 +78,28 @@
     pub fn speak<'n>(
         &mut self,
         now: Micros,
-        findings: &Findings,
+        findings: &LocalObservations,
         max_age: Micros,
         name: impl Fn(ServerId) -> &'n str,
     ) -> Vec<Saying> {
-        let opinions = &findings.opinions;
+        let opinions = &findings.servers;
         let mut nodes: Vec<u32> = opinions.iter().filter(|o| is_doubted(o)).map(|o| o.server.0).collect();
         nodes.dedup();
         // Most of them bad: the broken link is this member's own.
-        let silent = own_fault(nodes.len(), findings.sends_to);
+        let silent = own_fault(nodes.len(), findings.servers_in_use);
         let mut sayings = Vec::new();
         for o in opinions {
             let subject = self.subject(o, &name);
             let before = self.spoken.get(&subject);
             // Where nothing ever came back, a node that is sick and a way that is broken look the same.
-            let is_reached = o.answered && !o.unreachable;
-            let found = match (o.bad > 0.0, is_reached) {
-                (true, false) => Some((What::Unreachable, o.bad, o.at)),
-                (true, true) => Some((What::Sick, o.bad, o.at)),
+            let is_reached = o.has_answered && !o.is_unreachable;
+            let found = match (o.severity > 0.0, is_reached) {
+                (true, false) => Some((What::Unreachable, o.severity, o.last_ended_at)),
+                (true, true) => Some((What::Sick, o.severity, o.last_ended_at)),
                 // It is silent now.
-                (false, _) if o.silent >= SILENT && o.answered => Some((What::Silent, SILENT_BAD, now)),
+                (false, _) if o.overdue_share >= SILENT && o.has_answered => {
+                    Some((What::Silent, SILENT_BAD, now))
+                }
                 _ => None,
             };
             if let Some((what, bad, at)) = found.filter(|_| !silent) {
@@ -113,7 +117,7 @@
                 // As old as the answer that says so: one that was let back in by hearsay proves nothing.
                 self.spoken.remove(&subject);
                 let claim = Claim { what: What::Well, bad: 0.0 };
-                sayings.push((subject.to_key(), claim.to_value(), now - o.ok_at));
+                sayings.push((subject.to_key(), claim.to_value(), now - o.last_ok_at));
             }
         }
         self.spoken.retain(|_, s| now - s.found < max_age + max_age);
@@ -126,7 +130,7 @@
         now: Micros,
         priors: &[Prior],
         since: impl Fn(ServerId) -> Option<Micros>,
-    ) -> Vec<Hearsay> {
+    ) -> Vec<PeerVerdict> {
         let mut heard = Vec::new();
         let mut left = std::mem::take(&mut self.told);
         for p in priors.iter().filter(|p| p.subject.pool == self.pool) {
@@ -142,10 +146,13 @@
             if Subject::since(since(server)) != p.subject.since {
                 continue;
             }
-            let new = Hearsay { server, class, bad: p.bad, at: now - p.age, tries: p.tries };
+            let new =
+                PeerVerdict { server, class, severity: p.bad, found_at: now - p.age, probes_here: p.tries };
             let before = left.remove(&p.subject).map(|(_, _, h)| h);
             let same = before.filter(|b| {
-                b.tries == new.tries && (b.bad - new.bad).abs() <= CHANGE && new.at - b.at < Micros(100_000)
+                b.probes_here == new.probes_here
+                    && (b.severity - new.severity).abs() <= CHANGE
+                    && new.found_at - b.found_at < Micros(100_000)
             });
             if same.is_none() {
                 heard.push(new);
@@ -154,21 +161,27 @@
         }
         // What nobody says any more, or not recently enough, is taken back.
         for (server, class, before) in left.into_values() {
-            heard.push(Hearsay { server, class, bad: 0.0, at: now, tries: before.tries });
+            heard.push(PeerVerdict {
+                server,
+                class,
+                severity: 0.0,
+                found_at: now,
+                probes_here: before.probes_here,
+            });
         }
         heard
     }
 
     /// What the module goes by now, of others' words.
-    pub fn told(&self) -> impl Iterator<Item = &Hearsay> {
+    pub fn told(&self) -> impl Iterator<Item = &PeerVerdict> {
         self.told.values().map(|(_, _, h)| h)
     }
 
-    fn subject<'n>(&mut self, o: &Opinion, name: &impl Fn(ServerId) -> &'n str) -> Subject {
+    fn subject<'n>(&mut self, o: &ServerObservation, name: &impl Fn(ServerId) -> &'n str) -> Subject {
         self.meet(o.server.0 as usize + 1, name);
         let class = o.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
         let node = self.nodes[o.server.0 as usize];
-        Subject { pool: self.pool, node, since: Subject::since(o.since), class }
+        Subject { pool: self.pool, node, since: Subject::since(o.started_at), class }
     }
 
     /// Learns the names of nodes up to this number; numbers are not given out again.
--- a/crates/verdicts/src/exchange_tests.rs
+++ b/crates/verdicts/src/exchange_tests.rs
@@ -4,27 +4,27 @@
 
 const AGE: Micros = Micros(20_000_000);
 
-fn opinion(bad: f64, at: i64, ok_at: i64) -> Opinion {
+fn opinion(bad: f64, at: i64, ok_at: i64) -> ServerObservation {
     let (server, since, class) = (ServerId(0), None, None);
-    Opinion {
+    ServerObservation {
         server,
-        since,
+        started_at: since,
         class,
-        bad,
-        score: bad,
-        answered: true,
-        unreachable: false,
-        silent: 0.0,
-        at: Micros(at),
-        ok_at: Micros(ok_at),
+        severity: bad,
+        outlier_score: bad,
+        has_answered: true,
+        is_unreachable: false,
+        overdue_share: 0.0,
+        last_ended_at: Micros(at),
+        last_ok_at: Micros(ok_at),
     }
 }
 
-fn findings(sends_to: usize, opinions: &[Opinion]) -> Findings {
-    Findings { sends_to, opinions: opinions.to_vec() }
+fn findings(sends_to: usize, opinions: &[ServerObservation]) -> LocalObservations {
+    LocalObservations { servers_in_use: sends_to, servers: opinions.to_vec() }
 }
 
-fn said(e: &mut Exchange, now: i64, o: Opinion, sends_to: usize) -> Vec<(Claim, i64)> {
+fn said(e: &mut Exchange, now: i64, o: ServerObservation, sends_to: usize) -> Vec<(Claim, i64)> {
     let sayings = e.speak(Micros(now), &findings(sends_to, &[o]), AGE, |_| "n");
     sayings.into_iter().map(|(_, v, age)| (Claim::of_value(&v).unwrap(), age.0)).collect()
 }
@@ -51,11 +51,11 @@
     let prior = Prior { subject, bad: 0.9, age: Micros(10), tries: false };
     assert_eq!(e.hear(Micros(100), &[prior], |_| Some(Micros(6))), []);
     let told = e.hear(Micros(100), &[prior], |_| Some(Micros(5)));
-    assert_eq!((told.len(), told[0].bad, told[0].at), (1, 0.9, Micros(90)));
+    assert_eq!((told.len(), told[0].severity, told[0].found_at), (1, 0.9, Micros(90)));
     assert_eq!(e.hear(Micros(200), &[Prior { age: Micros(110), ..prior }], |_| Some(Micros(5))), []);
     assert_eq!(e.hear(Micros(200), &[Prior { tries: true, ..prior }], |_| Some(Micros(5))).len(), 1);
     let back = e.hear(Micros(300), &[], |_| Some(Micros(5)));
-    assert_eq!((back.len(), back[0].bad), (1, 0.0));
+    assert_eq!((back.len(), back[0].severity), (1, 0.0));
     assert_eq!(e.hear(Micros(300), &[], |_| Some(Micros(5))), []);
 }
 
@@ -65,19 +65,19 @@
 /// which it never reached.
 #[test]
 fn a_node_that_never_answered_is_no_sick_one_but_one_that_cannot_be_reached() {
-    let what = |o: Opinion| -> Vec<What> {
+    let what = |o: ServerObservation| -> Vec<What> {
         let said = said(&mut Exchange::new("p", &[]), 1_000, o, 10);
         said.into_iter().map(|(claim, _)| claim.what).collect()
     };
-    let silent = Opinion { silent: 1.0, ..opinion(0.0, 900, 0) };
-    let refused = Opinion { unreachable: true, ..opinion(0.8, 900, 0) };
+    let silent = ServerObservation { overdue_share: 1.0, ..opinion(0.0, 900, 0) };
+    let refused = ServerObservation { is_unreachable: true, ..opinion(0.8, 900, 0) };
     for (o, answered, never) in [
         (opinion(0.8, 900, 0), vec![What::Sick], vec![What::Unreachable]),
         (silent, vec![What::Silent], vec![]),
         (refused, vec![What::Unreachable], vec![What::Unreachable]),
     ] {
         assert_eq!(what(o), answered, "{o:?}");
-        assert_eq!(what(Opinion { answered: false, ..o }), never, "{o:?}");
+        assert_eq!(what(ServerObservation { has_answered: false, ..o }), never, "{o:?}");
     }
 }
 
@@ -86,20 +86,20 @@
 #[test]
 fn a_fault_of_ones_own_shows_in_scores_and_lasts_until_nodes_answer() {
     const NODES: u32 = 9;
-    let of = |n: u32, score: f64, ejected: bool, ok_at: i64| Opinion {
+    let of = |n: u32, score: f64, ejected: bool, ok_at: i64| ServerObservation {
         server: ServerId(n),
-        score,
-        bad: if ejected { score } else { 0.0 },
+        outlier_score: score,
+        severity: if ejected { score } else { 0.0 },
         ..opinion(0.0, 900, ok_at)
     };
     let names: Vec<String> = (0..NODES).map(|n| format!("n{n}")).collect();
-    let say = |e: &mut Exchange, now: i64, opinions: &[Opinion]| {
+    let say = |e: &mut Exchange, now: i64, opinions: &[ServerObservation]| {
         let findings = findings(NODES as usize, opinions);
         let said = e.speak(Micros(now), &findings, AGE, |id| &names[id.0 as usize]);
         said.len()
     };
     // Two ejected, three more that have failed all that they got since they answered last.
-    let doubted: Vec<Opinion> = (0..5).map(|n| of(n, 0.6, n < 2, 100)).collect();
+    let doubted: Vec<ServerObservation> = (0..5).map(|n| of(n, 0.6, n < 2, 100)).collect();
     let mut e = Exchange::new("p", &[]);
     assert_eq!(say(&mut e, 1_000, &doubted), 0);
     // One of them answers: four of nine are no fault of this member's.
--- a/src/bin/garnettally-benchlink/host.rs
+++ b/src/bin/garnettally-benchlink/host.rs
@@ -26,7 +26,7 @@
     now: Option<Micros>,
     lists: Vec<Option<Vec<Listing>>>,
     instances: FxHashMap<u64, Instance>,
-    news: Vec<ServerNews>,
+    news: Vec<ServerEntry>,
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
@@ -66,7 +66,7 @@
             In::ClientLeft(l) => {
                 let (now, instance) = self.at(l.balancer)?;
                 if let Some(&id) = instance.ids.get(&*l.tid) {
-                    self.event(l.balancer, now, Event::Gone(RequestId(id)))?;
+                    self.event(l.balancer, now, Event::ClientLeft(RequestId(id)))?;
                     self.instance(l.balancer)?.end(id);
                 }
             }
@@ -122,9 +122,9 @@
         let mut list = Vec::with_capacity(c.entries.len());
         for e in c.entries {
             let state = match e.health {
-                0 => Listed::Gone,
-                1 => Listed::Ready,
-                2 => Listed::Draining,
+                0 => ListedState::Removed,
+                1 => ListedState::Ready,
+                2 => ListedState::Draining,
                 other => return Err(format!("unknown health {other}")),
             };
             list.push(Listing {
@@ -134,7 +134,7 @@
                 cell: e.block.unwrap_or(0),
                 state,
                 units: e.units.unwrap_or(1.0),
-                since: e.online_since_us.filter(|&t| t != 0).map(Micros),
+                started_at: e.online_since_us.filter(|&t| t != 0).map(Micros),
             });
         }
         if self.lists.len() <= c.set_id {
@@ -147,16 +147,16 @@
     fn announce(&mut self, a: &wire::Announce) -> Result<(), String> {
         let now = self.now()?;
         let form = match a.form {
-            0 => Form::Delta,
-            1 => Form::Full,
+            0 => ListForm::Delta,
+            1 => ListForm::Full,
             2 => {
                 return self.event(
                     a.balancer,
                     now,
-                    Event::Unwatched { since: now, failure: CallFailure::Busy },
+                    Event::WatchFailed { complete_until: now, failure: CallFailure::Busy },
                 )
             }
-            3 => Form::Cached,
+            3 => ListForm::Cached,
             other => return Err(format!("unknown form {other}")),
         };
         let mut news = std::mem::take(&mut self.news);
@@ -165,7 +165,7 @@
         let list = list.ok_or_else(|| format!("list {:?} was never given", a.set_id))?;
         let instance = self.instances.get_mut(&a.balancer);
         let instance = instance.ok_or_else(|| format!("balancer {} was never booted", a.balancer))?;
-        news.extend(list.iter().map(|l| instance.names.news(l)));
+        news.extend(list.iter().map(|l| instance.names.register(l)));
         self.event(a.balancer, now, Event::List { form, entries: &news })?;
         self.news = news;
         Ok(())
@@ -180,9 +180,9 @@
             attempt: f.n,
             code,
             latency: Micros(f.latency_us.unwrap_or(0)),
-            held_up: Micros(0),
-            terminal: f.terminal,
-            load: f.feedback.as_ref().map(|l| Load { held: l.rif }),
+            local_delay: Micros(0),
+            is_final: f.terminal,
+            load: f.feedback.as_ref().map(|l| LoadReport { in_flight: l.rif }),
         };
         if let Some(open) = instance.open.get_mut(&id) {
             open.out.retain(|&n| n != f.n);
@@ -229,7 +229,7 @@
             expires: Micros(k.expires_us),
             hint: k.expected_us.filter(|_| flags & 1 != 0).map(Micros),
             repeat: flags & 2 != 0,
-            key: k.subject.as_deref().map(key),
+            key: k.subject.as_deref().map(key_id),
         })
     }
 
