--- a/crates/config/src/file/check.rs
+++ b/crates/config/src/file/check.rs
@@ -5,11 +5,11 @@
 use super::problems::{nearest, Document, Path};
 use garnettally_model::*;
 use garnettally_routing::budget::Share;
-use garnettally_routing::failover::Rules;
-use garnettally_routing::pattern::{FieldTest, HostPattern, Matcher, PathPattern, Test};
-use garnettally_routing::route::{DeadlineRule, Mirror, Pools, Route, Source};
+use garnettally_routing::failover::FailoverRules;
+use garnettally_routing::pattern::{FieldTest, HostPattern, Matcher, PathPattern, ValueTest};
+use garnettally_routing::route::{DeadlineRule, Mirror, PoolChoice, Route, ValueSource};
 use garnettally_routing::split::Split;
-use garnettally_routing::table::Table;
+use garnettally_routing::table::RouteTable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
     /// The routes, each with its share of the requests in flight.
     pub routes: Vec<(Route, Share)>,
     /// Which request takes which route.
-    pub table: Table,
+    pub table: RouteTable,
 }
 
 /// What is logged, and how.
@@ -112,7 +112,7 @@
     /// Its share of the memory for unfinished answers, in bytes.
     pub memory: Share,
     /// When it is left in a failover list.
-    pub failover: Rules,
+    pub failover: FailoverRules,
     /// How many share its nodes is not written: with a fleet it is the fleet's size.
     pub shared_by_fleet: bool,
 }
@@ -208,12 +208,12 @@
             return None;
         }
         let named = routes.iter().map(|(r, _)| (r.name.clone(), r.matcher.clone())).collect();
-        let table = match Table::new(named) {
+        let table = match RouteTable::new(named) {
             Ok(table) => table,
             Err(conflicts) => {
                 for c in conflicts {
                     let remedy = "change its host, path, methods or tests, or take one of them out";
-                    self.wrong(&top.key("routes").at(c.at()), c.to_string(), remedy);
+                    self.wrong(&top.key("routes").at(c.route_index()), c.to_string(), remedy);
                 }
                 return None;
             }
@@ -531,19 +531,24 @@
         all
     }
 
-    fn rules(&mut self, key: &Path, f: &format::Failover) -> Rules {
-        let base = Rules::default();
+    fn rules(&mut self, key: &Path, f: &format::Failover) -> FailoverRules {
+        let base = FailoverRules::default();
         let std = |m: Micros| Duration::from_micros(m.0 as u64);
         let (zero, ms) = (Duration::ZERO, Duration::from_millis(1));
-        let rules = Rules {
+        let rules = FailoverRules {
             leave_below: self.number(&key.key("leave_below"), f.leave_below, base.leave_below, 0.0, 1.0),
             return_above: self.number(&key.key("return_above"), f.return_above, base.return_above, 0.0, 1.0),
-            hold: micros(self.time(&key.key("hold"), f.hold.as_ref(), std(base.hold), ms)),
-            hold_most: micros(self.time(&key.key("hold_max"), f.hold_max.as_ref(), std(base.hold_most), ms)),
-            return_over: micros(self.time(
+            hold_down: micros(self.time(&key.key("hold"), f.hold.as_ref(), std(base.hold_down), ms)),
+            max_hold_down: micros(self.time(
+                &key.key("hold_max"),
+                f.hold_max.as_ref(),
+                std(base.max_hold_down),
+                ms,
+            )),
+            return_ramp: micros(self.time(
                 &key.key("return_over"),
                 f.return_over.as_ref(),
-                std(base.return_over),
+                std(base.return_ramp),
                 zero,
             )),
         };
@@ -551,7 +556,7 @@
             let what = "is below leave_below: the pool would flap";
             self.wrong(&key.key("return_above"), what, "raise it to leave_below or above");
         }
-        if rules.hold_most < rules.hold {
+        if rules.max_hold_down < rules.hold_down {
             self.wrong(&key.key("hold_max"), "is shorter than hold", "raise it");
         }
         rules
@@ -657,10 +662,10 @@
         let mut all = Vec::new();
         for (i, t) in tests.iter().enumerate() {
             let test = match (&t.equals, &t.starts_with, t.present) {
-                (Some(v), None, None) => Test::Equals(v.clone()),
-                (None, Some(v), None) => Test::StartsWith(v.clone()),
-                (None, None, Some(true)) => Test::Present,
-                (None, None, Some(false)) => Test::Absent,
+                (Some(v), None, None) => ValueTest::Equals(v.clone()),
+                (None, Some(v), None) => ValueTest::StartsWith(v.clone()),
+                (None, None, Some(true)) => ValueTest::Present,
+                (None, None, Some(false)) => ValueTest::Absent,
                 _ => {
                     let what = "it needs exactly one of equals, starts_with and present";
                     self.wrong(&key.at(i), what, "keep one of them");
@@ -676,13 +681,13 @@
         all
     }
 
-    fn source(&mut self, key: &Path, s: &format::Source, params: &[&str]) -> Option<Source> {
+    fn source(&mut self, key: &Path, s: &format::Source, params: &[&str]) -> Option<ValueSource> {
         let source = match (&s.header, &s.query, &s.param, &s.value) {
-            (Some(v), None, None, None) => Source::Header(v.to_ascii_lowercase()),
-            (None, Some(v), None, None) => Source::Query(v.clone()),
-            (None, None, None, Some(v)) => Source::Value(v.clone()),
+            (Some(v), None, None, None) => ValueSource::Header(v.to_ascii_lowercase()),
+            (None, Some(v), None, None) => ValueSource::Query(v.clone()),
+            (None, None, None, Some(v)) => ValueSource::Fixed(v.clone()),
             (None, None, Some(v), None) => match params.iter().position(|p| p == v) {
-                Some(at) => Source::Param(at),
+                Some(at) => ValueSource::Param(at),
                 None => {
                     let remedy = format!("its parameters: {}", params.join(", "));
                     self.wrong(&key.key("param"), format!("the path has no parameter {v:?}"), remedy);
@@ -713,7 +718,7 @@
         }
         let source = match &d.from {
             Some(from) => self.source(&key.key("from"), from, params),
-            None => Some(Source::Header("req-deadline".into())),
+            None => Some(ValueSource::Header("req-deadline".into())),
         };
         DeadlineRule { source, default: micros(default), ceiling: micros(ceiling) }
     }
@@ -726,9 +731,9 @@
         at
     }
 
-    fn route_pools(&mut self, key: &Path, f: &File, r: &format::Route) -> Option<Pools> {
+    fn route_pools(&mut self, key: &Path, f: &File, r: &format::Route) -> Option<PoolChoice> {
         match (&r.pool, &r.split, &r.failover) {
-            (Some(pool), None, None) => self.pool_at(&key.key("pool"), f, pool).map(Pools::One),
+            (Some(pool), None, None) => self.pool_at(&key.key("pool"), f, pool).map(PoolChoice::Single),
             (None, Some(split), None) => {
                 let key = key.key("split");
                 let mut parts = Vec::new();
@@ -740,7 +745,7 @@
                 if !split.values().any(|&w| w > 0.0) {
                     self.wrong(&key, "no pool has a weight above 0", "give one a weight");
                 }
-                Some(Pools::Split(Split::new(parts)))
+                Some(PoolChoice::Split(Split::new(parts)))
             }
             (None, None, Some(list)) => {
                 let key = key.key("failover");
@@ -754,7 +759,7 @@
                     }
                     places.extend(self.pool_at(&key.at(i), f, name));
                 }
-                Some(Pools::Failover(places))
+                Some(PoolChoice::Failover(places))
             }
             _ => {
                 self.wrong(key, "it needs exactly one of pool, split and failover", "keep one of them");
--- a/crates/decisions/src/balancer/list_freshness.rs
+++ b/crates/decisions/src/balancer/list_freshness.rs
@@ -8,7 +8,7 @@
 impl Balancer {
     /// The watch is lost, or could not be had; up to `since` it would have told of every change.
     pub(super) fn unwatched(&mut self, since: Micros, failure: CallFailure) {
-        if self.subscription.as_mut().is_some_and(|s| s.failed(self.now, since, failure)) {
+        if self.subscription.as_mut().is_some_and(|s| s.call_or_watch_failed(self.now, since, failure)) {
             self.servers.iter_mut().for_each(|s| s.proven = s.proven.max(since));
         }
     }
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -54,7 +54,7 @@
 
     pub(super) fn news(&mut self, form: Form, entries: &[ServerNews]) {
         if let Some(s) = self.subscription.as_mut().filter(|_| form != Form::Cached) {
-            s.heard();
+            s.update_received();
         }
         let most = entries.iter().map(|e| e.server.0 as usize + 1).max().unwrap_or(0).max(self.servers.len());
         let unknown = ServerNews { state: Listed::Gone, ..Default::default() };
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -83,7 +83,7 @@
             patience: vec![Micros(0); settings.classes.len()],
             quota: vec![QUOTA_LEAST; settings.tenant_quota.len()],
             sides: vec![Side::default(); settings.classes.len() + settings.tenant_quota.len() + 1],
-            subscription: Subscription::of(&settings, rng.u64(..), now),
+            subscription: Subscription::from_settings(&settings, rng.u64(..), now),
             next_period: now,
             timer: Micros(i64::MAX),
             chance: rng.f64(),
@@ -105,8 +105,8 @@
         match event {
             Event::List { form, entries } => self.news(form, entries),
             Event::Unwatched { since, failure } => self.unwatched(since, failure),
-            Event::DiscoveryAnswers => self.subscription.iter_mut().for_each(|s| s.answering()),
-            Event::DiscoveryMoved => self.subscription.iter_mut().for_each(|s| s.moved(self.now)),
+            Event::DiscoveryAnswers => self.subscription.iter_mut().for_each(|s| s.answer_started()),
+            Event::DiscoveryMoved => self.subscription.iter_mut().for_each(|s| s.registry_moved(self.now)),
             Event::WallClock { ahead } => self.wall_ahead = ahead,
             Event::Request(new) => self.admit(new, actions),
             Event::Outcome(outcome) => self.outcome(outcome, actions),
@@ -146,7 +146,7 @@
     /// goes on binding.
     pub fn take_over_watch(&mut self, before: &Balancer) {
         if let (Some(mine), Some(theirs)) = (&mut self.subscription, &before.subscription) {
-            mine.go_on_from(theirs);
+            mine.continue_from(theirs);
         }
     }
 
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -13,7 +13,7 @@
 pub use garnettally_model::{
     CallFailure, ClassId, Code, Effect, KeyId, Listed, Micros, RequestId, ServerId, TenantId,
 };
-pub use garnettally_subscription::{ListReport, ListStanding};
+pub use garnettally_subscription::{ListFreshness, ListReport};
 
 /// A request that wants an upstream.
 #[derive(Clone, Copy, Debug)]
--- a/crates/emulator/tests/stale_lists/play.rs
+++ b/crates/emulator/tests/stale_lists/play.rs
@@ -4,7 +4,7 @@
 use crate::schedule::{Departure, LeavingMode, Schedule, WatchLoss, SECOND};
 use crate::told::{Ground, Notifications};
 use garnettally_decisions::facade::{
-    Ask, CallFailure, ClassId, Code, Decision, Decisions, ListStanding, Report, RequestId, ServerId,
+    Ask, CallFailure, ClassId, Code, Decision, Decisions, ListFreshness, Report, RequestId, ServerId,
 };
 use garnettally_decisions::{Class, HostList, Micros, Names, Settings, Site};
 use garnettally_emulator::draw::Stream;
@@ -244,7 +244,7 @@
         self.schedule_request(process);
         let p = &mut self.processes[process];
         let report = p.decisions.list_standing(now);
-        if report.is_some_and(|r| r.standing == ListStanding::Unverified && !r.is_started) {
+        if report.is_some_and(|r| r.freshness == ListFreshness::Unverified && !r.is_started) {
             // It is not ready, and gets no requests.
             return;
         }
--- a/crates/emulator/tests/standstill.rs
+++ b/crates/emulator/tests/standstill.rs
@@ -106,12 +106,12 @@
     }
 
     fn answered(&mut self, now: Micros) -> bool {
-        self.heard();
+        self.update_received();
         self.poll(now)
     }
 
     fn failed(&mut self, now: Micros) -> bool {
-        Subscription::failed(self, now, now, CallFailure::Busy);
+        Subscription::call_or_watch_failed(self, now, now, CallFailure::Busy);
         self.poll(now)
     }
 
--- a/crates/routing/benches/matching.rs
+++ b/crates/routing/benches/matching.rs
@@ -4,7 +4,7 @@
 
 use criterion::{criterion_group, Criterion};
 use garnettally_routing::pattern::*;
-use garnettally_routing::table::Table;
+use garnettally_routing::table::RouteTable;
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -16,7 +16,7 @@
 }
 
 /// Services with collections, items, a literal beside the parameter, a prefix, and a header that tells apart.
-fn table(n: usize) -> Table {
+fn table(n: usize) -> RouteTable {
     let routes = (0..n).map(|i| {
         let (service, host) = (i / 5, format!("s{}.example.org", i / 50));
         let (path, prefix) = match i % 5 {
@@ -26,7 +26,7 @@
             3 => (format!("/v1/service-{service}/items/{{id}}/lines/{{line}}"), false),
             _ => (format!("/v1/service-{service}"), true),
         };
-        let test = FieldTest { name: "x-kind".into(), test: Test::Equals("a".into()) };
+        let test = FieldTest { name: "x-kind".into(), test: ValueTest::Equals("a".into()) };
         let matcher = Matcher {
             host: HostPattern::parse(&host).unwrap(),
             path: PathPattern::parse(&path, prefix).unwrap(),
@@ -35,7 +35,7 @@
         };
         (format!("r{i}"), matcher)
     });
-    Table::new(routes.collect()).unwrap_or_else(|c| panic!("{c:?}"))
+    RouteTable::new(routes.collect()).unwrap_or_else(|c| panic!("{c:?}"))
 }
 
 /// Requests that are spread over all routes.
@@ -56,9 +56,9 @@
         .collect()
 }
 
-fn all(table: &Table, requests: &[(String, String)]) -> usize {
+fn all(table: &RouteTable, requests: &[(String, String)]) -> usize {
     let find = |(host, path): &(String, String)| {
-        let s = Subject { method: "GET", host, path, query: "", headers: &Headers1 };
+        let s = RequestView { method: "GET", host, path, query: "", headers: &Headers1 };
         table.find(&s).is_some()
     };
     requests.iter().filter(|r| find(r)).count()
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -46,10 +46,10 @@
 
 impl Permit {
     /// Whether giving this back would let a holder have the unit that it was refused.
-    pub fn helps(&self, holder: HolderId, why: Refusal) -> bool {
+    pub fn would_admit(&self, holder: HolderId, why: Refusal) -> bool {
         match why {
-            Refusal::Maximum(full) => self.holders.contains(&Some(full)),
-            Refusal::Shared => self.charged.is_none_or(|own| own == holder),
+            Refusal::HolderAtMaximum(full) => self.holders.contains(&Some(full)),
+            Refusal::SharedInUse => self.charged.is_none_or(|own| own == holder),
         }
     }
 }
@@ -59,10 +59,10 @@
 pub enum Refusal {
     /// This holder is at its maximum.
     #[error("the holder is at its maximum")]
-    Maximum(HolderId),
+    HolderAtMaximum(HolderId),
     /// All that is shared is in use.
     #[error("all that is shared is in use")]
-    Shared,
+    SharedInUse,
 }
 
 /// Capacity and its holders.
@@ -88,7 +88,7 @@
     }
 
     /// A new holder. Minimums beyond the capacity leave nothing to share; the configuration is checked for that.
-    pub fn join(&mut self, share: Share) -> HolderId {
+    pub fn add_holder(&mut self, share: Share) -> HolderId {
         self.guaranteed += share.min;
         let holder = Some(Holder { share, own: 0, held: 0, leaving: false });
         match self.free.pop() {
@@ -104,12 +104,12 @@
     }
 
     /// Gives a holder another share; what it holds beyond its new minimum counts as shared from now on.
-    pub fn change(&mut self, id: HolderId, share: Share) {
+    pub fn set_share(&mut self, id: HolderId, share: Share) {
         self.adjust(id, |h| h.share = share);
     }
 
     /// A holder that takes no more; its minimum is free at once, and its number once it holds nothing.
-    pub fn leave(&mut self, id: HolderId) {
+    pub fn remove_holder(&mut self, id: HolderId) {
         self.adjust(id, |h| {
             h.share = Share { min: 0, max: 0 };
             h.leaving = true;
@@ -141,10 +141,10 @@
         let mut own = None;
         for id in holders.iter().take(3).copied().flatten() {
             let Some(h) = self.holders.get(id.0 as usize).and_then(Option::as_ref) else {
-                return Err(Refusal::Maximum(id));
+                return Err(Refusal::HolderAtMaximum(id));
             };
             if h.held >= h.share.max {
-                return Err(Refusal::Maximum(id));
+                return Err(Refusal::HolderAtMaximum(id));
             }
             if own.is_none() && h.own < h.share.min {
                 own = Some(id);
@@ -152,13 +152,13 @@
         }
         let shared = self.capacity.saturating_sub(self.guaranteed);
         if own.is_none() && self.shared_out + self.beyond >= shared {
-            return Err(Refusal::Shared);
+            return Err(Refusal::SharedInUse);
         }
         Ok(own)
     }
 
     /// Takes a unit for these holders, three at the most.
-    pub fn take(&mut self, holders: &[Option<HolderId>]) -> Result<Permit, Refusal> {
+    pub fn acquire(&mut self, holders: &[Option<HolderId>]) -> Result<Permit, Refusal> {
         let own = self.check(holders)?;
         let mut permit = Permit { holders: [None; 3], charged: own };
         for (place, id) in permit.holders.iter_mut().zip(holders.iter().copied().flatten()) {
@@ -187,7 +187,7 @@
     }
 
     /// What a holder has now.
-    pub fn held(&self, id: HolderId) -> usize {
+    pub fn units_held(&self, id: HolderId) -> usize {
         self.holders.get(id.0 as usize).and_then(Option::as_ref).map_or(0, |h| h.held)
     }
 
@@ -200,7 +200,7 @@
 /// Whether the holder at this place uses more of a capacity than it may, by the same rules, where amounts are measured
 /// and not taken unit by unit, as memory is: beyond its maximum, or beyond its minimum while what all use beyond
 /// theirs is more than what is shared.
-pub fn exceeds(capacity: usize, holders: &[(Share, usize)], at: usize) -> bool {
+pub fn exceeds_share(capacity: usize, holders: &[(Share, usize)], at: usize) -> bool {
     let Some((share, used)) = holders.get(at) else { return false };
     let guaranteed: usize = holders.iter().map(|(s, _)| s.min).sum();
     let borrowed: usize = holders.iter().map(|(s, used)| used.saturating_sub(s.min)).sum();
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -21,23 +21,23 @@
 
 /// The nodes of one pool.
 #[derive(Default)]
-pub struct Nodes {
+pub struct NodeHealth {
     listed: FxHashMap<ServerId, (bool, Mark)>,
     ready: usize,
 }
 
-impl Nodes {
+impl NodeHealth {
     /// A whole list has come: those that it leaves out go, and are named.
-    pub fn keep_listed(&mut self, keep: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
+    pub fn retain_listed(&mut self, keep: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
         let gone: Vec<ServerId> = self.listed.keys().copied().filter(|id| !keep(*id)).collect();
         for &id in &gone {
-            self.list(id, Listed::Gone);
+            self.set_listed(id, Listed::Gone);
         }
         gone
     }
 
     /// Takes in one entry of a list.
-    pub fn list(&mut self, id: ServerId, state: Listed) {
+    pub fn set_listed(&mut self, id: ServerId, state: Listed) {
         let ready = state == Listed::Ready;
         let before = match state {
             Listed::Gone => self.listed.remove(&id).map(|(was, _)| was),
@@ -50,7 +50,7 @@
     }
 
     /// Takes in how an attempt ended.
-    pub fn ended(&mut self, now: Micros, id: ServerId, code: Code) {
+    pub fn attempt_ended(&mut self, now: Micros, id: ServerId, code: Code) {
         let Some((_, mark)) = self.listed.get_mut(&id) else { return };
         match code {
             Code::Ok | Code::Rejected => *mark = Mark::default(),
@@ -64,7 +64,7 @@
     }
 
     /// Nodes that are listed as ready.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.ready
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// The nodes listed, and those of them that are draining or marked as down.
-    pub fn members(&self, now: Micros) -> (usize, usize) {
+    pub fn node_counts(&self, now: Micros) -> (usize, usize) {
         (self.listed.len(), self.listed.len() - self.well(now))
     }
 
--- a/crates/routing/src/health_tests.rs
+++ b/crates/routing/src/health_tests.rs
@@ -5,24 +5,24 @@
 #[test]
 fn a_node_is_down_after_failures_in_a_row_until_it_serves_or_the_mark_is_old() {
     let (a, b) = (ServerId(0), ServerId(1));
-    let mut n = Nodes::default();
+    let mut n = NodeHealth::default();
     assert_eq!(n.healthy_share(Micros(0)), 0.0);
-    n.list(a, Listed::Ready);
-    n.list(b, Listed::Ready);
+    n.set_listed(a, Listed::Ready);
+    n.set_listed(b, Listed::Ready);
     for code in [Code::Error, Code::Full, Code::Reset, Code::Cancelled] {
-        n.ended(Micros(1), a, code);
+        n.attempt_ended(Micros(1), a, code);
     }
     assert_eq!(n.healthy_share(Micros(1)), 1.0, "two failures are not enough");
-    n.ended(Micros(1), a, Code::ConnectFailed);
+    n.attempt_ended(Micros(1), a, Code::ConnectFailed);
     assert_eq!(n.healthy_share(Micros(1)), 0.5);
     assert_eq!(n.healthy_share(Micros(2) + MEMORY), 1.0, "the mark is old");
-    n.ended(Micros(2), a, Code::Ok);
+    n.attempt_ended(Micros(2), a, Code::Ok);
     assert_eq!(n.healthy_share(Micros(2)), 1.0);
-    n.list(b, Listed::Draining);
-    assert_eq!((n.ready(), n.healthy_share(Micros(2))), (1, 0.5));
-    n.list(b, Listed::Gone);
-    n.list(b, Listed::Gone);
-    assert_eq!((n.ready(), n.healthy_share(Micros(2))), (1, 1.0));
-    assert_eq!(n.keep_listed(|_| false), [a]);
-    assert_eq!((n.ready(), n.healthy_share(Micros(2))), (0, 0.0));
+    n.set_listed(b, Listed::Draining);
+    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (1, 0.5));
+    n.set_listed(b, Listed::Gone);
+    n.set_listed(b, Listed::Gone);
+    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (1, 1.0));
+    assert_eq!(n.retain_listed(|_| false), [a]);
+    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (0, 0.0));
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -29,6 +29,6 @@
 }
 
 /// A hash as a number from 0 up to, but not including, 1.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/routing/src/pattern.rs
+++ b/crates/routing/src/pattern.rs
@@ -3,34 +3,34 @@
 use std::cmp::Ordering;
 
 /// The most segments a path pattern may have, and that are looked at in a request's path.
-pub const MOST_SEGMENTS: usize = 64;
+pub const MAX_SEGMENTS: usize = 64;
 /// The most parameters of one path template.
-pub const MOST_PARAMS: usize = 8;
+pub const MAX_PARAMS: usize = 8;
 
 /// Why a pattern can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
     /// A host pattern that is no host name.
     #[error("{0:?} is no host: write a name such as api.example.org, *.example.org or *")]
-    Host(String),
+    InvalidHost(String),
     /// A path that does not begin with a slash.
     #[error("{0:?} is no path: it must begin with '/'")]
-    NoSlash(String),
+    MissingLeadingSlash(String),
     /// A path with more segments than are looked at.
-    #[error("{0:?} has more than {MOST_SEGMENTS} segments")]
-    Deep(String),
+    #[error("{0:?} has more than {MAX_SEGMENTS} segments")]
+    TooManySegments(String),
     /// A template with more parameters than are kept.
-    #[error("{0:?} has more than {MOST_PARAMS} parameters")]
-    Params(String),
+    #[error("{0:?} has more than {MAX_PARAMS} parameters")]
+    TooManyParams(String),
     /// Braces that make no parameter.
     #[error("segment {0:?}: a parameter takes a whole segment, {{name}}, of letters, digits, '_' or '-'")]
-    Braces(String),
+    MisplacedBraces(String),
     /// One name for two parameters.
     #[error("parameter {0:?} stands twice in one path")]
-    Twice(String),
+    DuplicateParam(String),
     /// A query, a fragment or a dot segment, which no path that is matched has.
     #[error("{0:?} can't be matched: a path has no '?', no '#' and no '.' or '..' segment")]
-    Never(String),
+    Unmatchable(String),
 }
 
 /// Which hosts a route is for; the port of a request's host is not looked at, nor upper case.
@@ -42,7 +42,7 @@
     /// This one, in lower case.
     Exact(String),
     /// Those with one label or more before this domain, in lower case.
-    Under(String),
+    Subdomains(String),
 }
 
 impl HostPattern {
@@ -57,18 +57,18 @@
         let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
         let label = |l: &str| !l.is_empty() && l.len() <= 63;
         if name.len() > 253 || !(bracketed || name.split('.').all(label) && name.bytes().all(fits)) {
-            return Err(PatternError::Host(text.into()));
+            return Err(PatternError::InvalidHost(text.into()));
         }
         let name = name.to_ascii_lowercase();
-        Ok(if under { HostPattern::Under(name) } else { HostPattern::Exact(name) })
+        Ok(if under { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
     }
 
     /// Whether a host in lower case and without its port fits.
-    pub fn fits(&self, host: &str) -> bool {
+    pub fn matches(&self, host: &str) -> bool {
         match self {
             HostPattern::Any => true,
             HostPattern::Exact(name) => name == host,
-            HostPattern::Under(domain) => {
+            HostPattern::Subdomains(domain) => {
                 host.strip_suffix(domain.as_str()).is_some_and(|rest| rest.len() > 1 && rest.ends_with('.'))
             }
         }
@@ -78,7 +78,7 @@
     fn rank(&self) -> (u8, usize) {
         match self {
             HostPattern::Any => (0, 0),
-            HostPattern::Under(domain) => (1, domain.len()),
+            HostPattern::Subdomains(domain) => (1, domain.len()),
             HostPattern::Exact(_) => (2, 0),
         }
     }
@@ -100,15 +100,15 @@
     /// Its segments.
     pub segments: Vec<Segment>,
     /// Further segments may follow.
-    pub prefix: bool,
+    pub is_prefix: bool,
 }
 
 impl PathPattern {
     /// Reads `/orders`, `/orders/{id}/lines`; as a prefix, whole segments may follow.
     pub fn parse(text: &str, prefix: bool) -> Result<PathPattern, PatternError> {
-        let rest = text.strip_prefix('/').ok_or_else(|| PatternError::NoSlash(text.into()))?;
+        let rest = text.strip_prefix('/').ok_or_else(|| PatternError::MissingLeadingSlash(text.into()))?;
         if text.contains(['?', '#']) || has_dot_segment(text) {
-            return Err(PatternError::Never(text.into()));
+            return Err(PatternError::Unmatchable(text.into()));
         }
         // A prefix is written with its last slash or without.
         let rest = if prefix { rest.strip_suffix('/').unwrap_or(rest) } else { rest };
@@ -122,21 +122,21 @@
             let name = part.strip_prefix('{').and_then(|p| p.strip_suffix('}')).unwrap_or("");
             let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-');
             if name.is_empty() || !name.bytes().all(fits) {
-                return Err(PatternError::Braces(part.into()));
+                return Err(PatternError::MisplacedBraces(part.into()));
             }
             if names.contains(&name) {
-                return Err(PatternError::Twice(name.into()));
+                return Err(PatternError::DuplicateParam(name.into()));
             }
             names.push(name);
             segments.push(Segment::Param(name.into()));
         }
-        if segments.len() > MOST_SEGMENTS {
-            return Err(PatternError::Deep(text.into()));
+        if segments.len() > MAX_SEGMENTS {
+            return Err(PatternError::TooManySegments(text.into()));
         }
-        if names.len() > MOST_PARAMS {
-            return Err(PatternError::Params(text.into()));
+        if names.len() > MAX_PARAMS {
+            return Err(PatternError::TooManyParams(text.into()));
         }
-        Ok(PathPattern { segments, prefix })
+        Ok(PathPattern { segments, is_prefix: prefix })
     }
 
     /// The names of its parameters, in order.
@@ -148,7 +148,7 @@
     }
 
     /// Whether a path fits; the plain form of what the table does.
-    pub fn fits(&self, path: &str) -> bool {
+    pub fn matches(&self, path: &str) -> bool {
         let Some(mut rest) = first_segment(path) else { return false };
         for segment in &self.segments {
             let Some(text) = rest else { return false };
@@ -160,16 +160,16 @@
             }
             rest = tail;
         }
-        self.prefix || rest.is_none()
+        self.is_prefix || rest.is_none()
     }
 
     /// More specific is greater: from left to right, a literal before a parameter before the end of a prefix,
     /// and a whole path before a prefix.
-    pub fn compare(&self, other: &PathPattern) -> Ordering {
+    pub fn compare_specificity(&self, other: &PathPattern) -> Ordering {
         let rank = |p: &PathPattern, at: usize| match p.segments.get(at) {
             Some(Segment::Literal(_)) => 3,
             Some(Segment::Param(_)) => 2,
-            None if !p.prefix => 1,
+            None if !p.is_prefix => 1,
             None => 0,
         };
         let most = self.segments.len().max(other.segments.len());
@@ -212,7 +212,7 @@
 
 /// What a header's or a query parameter's value must be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Test {
+pub enum ValueTest {
     /// There.
     Present,
     /// Not there.
@@ -223,27 +223,26 @@
     StartsWith(String),
 }
 
-impl Test {
+impl ValueTest {
     /// Whether a value passes.
     pub fn passes(&self, value: Option<&str>) -> bool {
         match (self, value) {
-            (Test::Present, v) => v.is_some(),
-            (Test::Absent, v) => v.is_none(),
-            (Test::Equals(want), v) => v == Some(want.as_str()),
-            (Test::StartsWith(want), v) => v.is_some_and(|v| v.starts_with(want.as_str())),
+            (ValueTest::Present, v) => v.is_some(),
+            (ValueTest::Absent, v) => v.is_none(),
+            (ValueTest::Equals(want), v) => v == Some(want.as_str()),
+            (ValueTest::StartsWith(want), v) => v.is_some_and(|v| v.starts_with(want.as_str())),
         }
     }
 
     /// Whether no value passes both.
-    fn excludes(&self, other: &Test) -> bool {
+    fn excludes(&self, other: &ValueTest) -> bool {
         match (self, other) {
-            (Test::Absent, Test::Absent) => false,
-            (Test::Absent, _) | (_, Test::Absent) => true,
-            (Test::Equals(a), Test::Equals(b)) => a != b,
-            (Test::Equals(a), Test::StartsWith(b)) | (Test::StartsWith(b), Test::Equals(a)) => {
-                !a.starts_with(b.as_str())
-            }
-            (Test::StartsWith(a), Test::StartsWith(b)) => {
+            (ValueTest::Absent, ValueTest::Absent) => false,
+            (ValueTest::Absent, _) | (_, ValueTest::Absent) => true,
+            (ValueTest::Equals(a), ValueTest::Equals(b)) => a != b,
+            (ValueTest::Equals(a), ValueTest::StartsWith(b))
+            | (ValueTest::StartsWith(b), ValueTest::Equals(a)) => !a.starts_with(b.as_str()),
+            (ValueTest::StartsWith(a), ValueTest::StartsWith(b)) => {
                 !a.starts_with(b.as_str()) && !b.starts_with(a.as_str())
             }
             _ => false,
@@ -257,7 +256,7 @@
     /// The field; a header's in lower case.
     pub name: String,
     /// The test.
-    pub test: Test,
+    pub test: ValueTest,
 }
 
 /// The headers of a request, by name without regard to case.
@@ -274,7 +273,7 @@
 
 /// What routing looks at in a request.
 #[derive(Clone, Copy)]
-pub struct Subject<'a> {
+pub struct RequestView<'a> {
     /// Its method.
     pub method: &'a str,
     /// Its host, as sent.
@@ -287,7 +286,7 @@
     pub headers: &'a dyn Headers,
 }
 
-impl Subject<'_> {
+impl RequestView<'_> {
     /// The first value of a query parameter, decoded.
     pub fn query_value(&self, name: &str) -> Option<std::borrow::Cow<'_, str>> {
         form_urlencoded::parse(self.query.as_bytes()).find(|(n, _)| n == name).map(|(_, v)| v)
@@ -311,22 +310,22 @@
 
 impl Matcher {
     /// Whether method, headers and query fit.
-    pub fn fields_fit(&self, s: &Subject<'_>) -> bool {
+    pub fn matches_fields(&self, s: &RequestView<'_>) -> bool {
         (self.methods.is_empty() || self.methods.iter().any(|m| m == s.method))
             && self.headers.iter().all(|t| t.test.passes(s.headers.header(&t.name)))
             && self.query.iter().all(|t| t.test.passes(s.query_value(&t.name).as_deref()))
     }
 
     /// How specific method, headers and query are; larger is more.
-    pub fn field_rank(&self) -> (bool, usize) {
+    pub fn field_specificity(&self) -> (bool, usize) {
         (!self.methods.is_empty(), self.headers.len() + self.query.len())
     }
 
     /// More specific is greater: host first, then path, then method, then the number of tests.
-    pub fn compare(&self, other: &Matcher) -> Ordering {
+    pub fn compare_specificity(&self, other: &Matcher) -> Ordering {
         let host = self.host.rank().cmp(&other.host.rank());
-        let path = || self.path.compare(&other.path);
-        host.then_with(path).then_with(|| self.field_rank().cmp(&other.field_rank()))
+        let path = || self.path.compare_specificity(&other.path);
+        host.then_with(path).then_with(|| self.field_specificity().cmp(&other.field_specificity()))
     }
 
     /// Whether no request fits both by method, headers and query.
--- a/crates/routing/src/pins.rs
+++ b/crates/routing/src/pins.rs
@@ -28,7 +28,7 @@
 /// No pin is free: a key that can't be remembered must not be sent where a repeat could go elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("all pins of keyed requests are in use")]
-pub struct Full;
+pub struct PinsFull;
 
 impl<P: Copy + PartialEq> Pins<P> {
     /// Room for so many keys.
@@ -42,13 +42,13 @@
     }
 
     /// Whether no new key can be taken.
-    pub fn full(&mut self, now: Micros) -> bool {
+    pub fn is_full(&mut self, now: Micros) -> bool {
         self.expire(now);
         self.by_key.len() >= self.most
     }
 
     /// Changes the room; keys that are held stay.
-    pub fn resize(&mut self, most: usize) {
+    pub fn set_capacity(&mut self, most: usize) {
         self.most = most;
     }
 
@@ -58,15 +58,15 @@
     }
 
     /// Notes an attempt that is about to be sent. The window is that of the first attempt that may have run: a
-    /// later one does not lengthen it. The number names the pin to [`Pins::never_ran`].
-    pub fn sent(&mut self, now: Micros, key: u64, pool: P, until: Micros) -> Result<u64, Full> {
+    /// later one does not lengthen it. The number names the pin to [`Pins::attempt_never_ran`].
+    pub fn record_attempt(&mut self, now: Micros, key: u64, pool: P, until: Micros) -> Result<u64, PinsFull> {
         self.expire(now);
         if let Some(pin) = self.by_key.get_mut(&key) {
             pin.attempts = pin.attempts.saturating_add(1);
             return Ok(pin.number);
         }
         if self.by_key.len() >= self.most {
-            return Err(Full);
+            return Err(PinsFull);
         }
         self.next += 1;
         self.by_key.insert(key, Pin { pool, until, attempts: 1, number: self.next });
@@ -81,7 +81,7 @@
 
     /// An attempt that was noted under this number has ended, and never ran. One that outlived its window must not
     /// give up the pin of a later request.
-    pub fn never_ran(&mut self, key: u64, number: u64) {
+    pub fn attempt_never_ran(&mut self, key: u64, number: u64) {
         if let Some(pin) = self.by_key.get_mut(&key).filter(|p| p.number == number) {
             pin.attempts = pin.attempts.saturating_sub(1);
             if pin.attempts == 0 {
--- a/crates/routing/src/pins_tests.rs
+++ b/crates/routing/src/pins_tests.rs
@@ -7,13 +7,13 @@
 #[test]
 fn a_full_memory_takes_no_new_key_but_knows_the_old_ones() {
     let mut pins = Pins::new(1);
-    assert_eq!(pins.sent(Micros(0), 1, 'a', Micros(10)), Ok(1));
-    assert_eq!(pins.sent(Micros(0), 2, 'a', Micros(10)), Err(Full));
-    assert_eq!(pins.sent(Micros(0), 1, 'a', Micros(20)), Ok(1));
+    assert_eq!(pins.record_attempt(Micros(0), 1, 'a', Micros(10)), Ok(1));
+    assert_eq!(pins.record_attempt(Micros(0), 2, 'a', Micros(10)), Err(PinsFull));
+    assert_eq!(pins.record_attempt(Micros(0), 1, 'a', Micros(20)), Ok(1));
     assert_eq!(pins.get(Micros(9), 1), Some(('a', Micros(10))), "the window is the first attempt's");
     assert_eq!(pins.get(Micros(10), 1), None);
-    assert_eq!(pins.sent(Micros(10), 2, 'b', Micros(20)), Ok(2), "an ended window makes room");
-    pins.never_ran(2, 1);
+    assert_eq!(pins.record_attempt(Micros(10), 2, 'b', Micros(20)), Ok(2), "an ended window makes room");
+    pins.attempt_never_ran(2, 1);
     assert_eq!(pins.get(Micros(11), 2).map(|p| p.0), Some('b'), "another pin's attempt gives up nothing");
     pins.rebind('b', 'c');
     assert_eq!(pins.get(Micros(11), 2).map(|p| p.0), Some('c'));
@@ -46,7 +46,7 @@
             match op {
                 Op::Send(key, pool) => {
                     let to = pins.get(now, key).map_or(pool, |p| p.0);
-                    prop_assert!(pins.sent(now, key, to, now + Micros(WINDOW)).is_ok());
+                    prop_assert!(pins.record_attempt(now, key, to, now + Micros(WINDOW)).is_ok());
                     plain.retain(|_, p| p.1 > now);
                     let p = plain.entry(key).or_insert((pool, now + Micros(WINDOW), 0));
                     p.2 += 1;
@@ -56,7 +56,7 @@
                     plain.retain(|_, p| p.1 > now);
                     pins.expire(now);
                     let number = pins.by_key.get(&key).map_or(0, |p| p.number);
-                    pins.never_ran(key, number);
+                    pins.attempt_never_ran(key, number);
                     if let Some(p) = plain.get_mut(&key) {
                         p.2 -= 1;
                         if p.2 == 0 {
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,16 +1,16 @@
 //! What a matched route says of its request.
 
-use crate::pattern::{Matcher, Subject};
+use crate::pattern::{Matcher, RequestView};
 use crate::split::Split;
-use crate::table::Params;
+use crate::table::PathParams;
 use garnettally_model::{ClassId, Micros};
 use std::borrow::Cow;
 
 /// Where a value is taken from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ValueSource {
     /// This text.
-    Value(String),
+    Fixed(String),
     /// The first header of this name.
     Header(String),
     /// The first query parameter of this name.
@@ -19,14 +19,14 @@
     Param(usize),
 }
 
-impl Source {
+impl ValueSource {
     /// The value in a request; empty ones count as absent.
-    pub fn take<'a>(&'a self, s: &'a Subject<'_>, params: &Params<'a>) -> Option<Cow<'a, str>> {
+    pub fn extract<'a>(&'a self, s: &'a RequestView<'_>, params: &PathParams<'a>) -> Option<Cow<'a, str>> {
         let value = match self {
-            Source::Value(text) => Some(Cow::Borrowed(text.as_str())),
-            Source::Header(name) => s.headers.header(name).map(Cow::Borrowed),
-            Source::Query(name) => s.query_value(name),
-            Source::Param(at) => params.get(*at).map(Cow::Borrowed),
+            ValueSource::Fixed(text) => Some(Cow::Borrowed(text.as_str())),
+            ValueSource::Header(name) => s.headers.header(name).map(Cow::Borrowed),
+            ValueSource::Query(name) => s.query_value(name),
+            ValueSource::Param(at) => params.get(*at).map(Cow::Borrowed),
         };
         value.filter(|v| !v.is_empty())
     }
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeadlineRule {
     /// Where its client says so, in seconds with decimals.
-    pub source: Option<Source>,
+    pub source: Option<ValueSource>,
     /// Without a word of the client's.
     pub default: Micros,
     /// At the most, whatever the client says.
@@ -46,16 +46,16 @@
 /// A deadline that is no number of seconds above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the deadline is no number of seconds above 0")]
-pub struct BadDeadline;
+pub struct InvalidDeadline;
 
 impl DeadlineRule {
     /// The time that a request has.
-    pub fn time(&self, s: &Subject<'_>, params: &Params<'_>) -> Result<Micros, BadDeadline> {
-        let Some(text) = self.source.as_ref().and_then(|source| source.take(s, params)) else {
+    pub fn resolve(&self, s: &RequestView<'_>, params: &PathParams<'_>) -> Result<Micros, InvalidDeadline> {
+        let Some(text) = self.source.as_ref().and_then(|source| source.extract(s, params)) else {
             return Ok(self.default.min(self.ceiling));
         };
         let seconds =
-            text.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v > 0.0).ok_or(BadDeadline)?;
+            text.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v > 0.0).ok_or(InvalidDeadline)?;
         let micros = (seconds * 1e6).min(self.ceiling.0 as f64);
         Ok(Micros(micros as i64))
     }
@@ -63,28 +63,28 @@
 
 /// Which pools a route's requests go to, each by its place in the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Pools {
+pub enum PoolChoice {
     /// This one.
-    One(usize),
+    Single(usize),
     /// Several by weight: a key always goes to the same one.
     Split(Split),
     /// The first of them that is fit.
     Failover(Vec<usize>),
 }
 
-impl Pools {
+impl PoolChoice {
     /// All of them.
-    pub fn all(&self) -> Vec<usize> {
+    pub fn pool_indices(&self) -> Vec<usize> {
         match self {
-            Pools::One(pool) => vec![*pool],
-            Pools::Split(split) => split.parts().iter().map(|p| p.to).collect(),
-            Pools::Failover(list) => list.clone(),
+            PoolChoice::Single(pool) => vec![*pool],
+            PoolChoice::Split(split) => split.parts().iter().map(|p| p.target).collect(),
+            PoolChoice::Failover(list) => list.clone(),
         }
     }
 
     /// Whether a repeat of a key could go to another pool than its first attempt.
-    pub fn several(&self) -> bool {
-        !matches!(self, Pools::One(_))
+    pub fn has_several(&self) -> bool {
+        !matches!(self, PoolChoice::Single(_))
     }
 }
 
@@ -99,8 +99,8 @@
 
 impl Mirror {
     /// Whether a request is copied; decided by its number, so that no state is kept.
-    pub fn takes(&self, number: u64) -> bool {
-        crate::unit(crate::stable_hash(2, &number.to_le_bytes())) < self.share
+    pub fn selects(&self, number: u64) -> bool {
+        crate::unit_interval(crate::stable_hash(2, &number.to_le_bytes())) < self.share
     }
 }
 
@@ -114,13 +114,13 @@
     /// The class of its requests.
     pub class: ClassId,
     /// Where their tenant is told.
-    pub tenant: Option<Source>,
+    pub tenant: Option<ValueSource>,
     /// Where their key is told.
-    pub key: Option<Source>,
+    pub key: Option<ValueSource>,
     /// How long they may take.
     pub deadline: DeadlineRule,
     /// Where they go.
-    pub pools: Pools,
+    pub pools: PoolChoice,
     /// Where copies of them go.
     pub mirror: Option<Mirror>,
 }
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -4,13 +4,13 @@
 //! alone, and when it shrinks, away from it alone; a part that is added or removed moves its own share. Names
 //! and not places count, so the order of the parts does not matter.
 
-use crate::{stable_hash, unit};
+use crate::{stable_hash, unit_interval};
 
 /// One part of a split.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct SplitPart {
     /// What goes there, as the caller numbers it.
-    pub to: usize,
+    pub target: usize,
     /// Its weight, from 0; only ratios count.
     pub weight: f64,
     seed: u64,
@@ -19,7 +19,7 @@
 /// A weighted split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
-    parts: Vec<Part>,
+    parts: Vec<SplitPart>,
 }
 
 impl Split {
@@ -27,25 +27,25 @@
     pub fn new<'n>(parts: impl IntoIterator<Item = (usize, &'n str, f64)>) -> Split {
         let parts = parts.into_iter().map(|(to, name, weight)| {
             let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
-            Part { to, weight, seed: stable_hash(0, name.as_bytes()) }
+            SplitPart { target: to, weight, seed: stable_hash(0, name.as_bytes()) }
         });
         Split { parts: parts.collect() }
     }
 
     /// The parts.
-    pub fn parts(&self) -> &[Part] {
+    pub fn parts(&self) -> &[SplitPart] {
         &self.parts
     }
 
     /// Where a key goes; `None` where nothing has weight.
     pub fn choose(&self, key: u64) -> Option<usize> {
         // -weight / ln(u) with u in (0, 1) from key and part: the maximum is at a part in proportion to weight.
-        let score = |p: &Part| {
-            let u = unit(stable_hash(p.seed, &key.to_le_bytes()));
+        let score = |p: &SplitPart| {
+            let u = unit_interval(stable_hash(p.seed, &key.to_le_bytes()));
             -p.weight / (u + f64::EPSILON / 4.0).ln()
         };
         let live = self.parts.iter().filter(|p| p.weight > 0.0);
-        let best = live.map(|p| (score(p), p.to)).reduce(|a, b| if b.0 > a.0 { b } else { a });
+        let best = live.map(|p| (score(p), p.target)).reduce(|a, b| if b.0 > a.0 { b } else { a });
         best.map(|(_, to)| to)
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,17 +1,17 @@
 //! The table of routes: host, then a trie of path segments, then the few routes that share both.
 //!
 //! The cost of a match does not grow with the number of routes: hosts and literal segments are looked up by
-//! hash, and no more than [`MOST_AT_ONE_PATH`] routes may share a host and a path. Nothing is allocated.
+//! hash, and no more than [`MAX_ROUTES_PER_PATH`] routes may share a host and a path. Nothing is allocated.
 
 use crate::pattern::*;
 use rustc_hash::FxHashMap;
 
 /// The most routes that may share one host pattern and one path pattern.
-pub const MOST_AT_ONE_PATH: usize = 64;
+pub const MAX_ROUTES_PER_PATH: usize = 64;
 
 /// Why routes can't stand together.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Conflict {
+pub enum RouteConflict {
     /// Neither is more specific, and a request can fit both.
     #[error("routes {first:?} and {second:?} match the same requests, and neither is more specific")]
     Ambiguous {
@@ -20,48 +20,49 @@
         /// The other.
         second: String,
         /// The place of the other.
-        at: usize,
+        route_index: usize,
     },
     /// Too many routes are told apart by method, headers and query alone.
-    #[error("route {name:?} is one too many for its host and path: {MOST_AT_ONE_PATH} at most")]
-    Crowded {
+    #[error("route {name:?} is one too many for its host and path: {MAX_ROUTES_PER_PATH} at most")]
+    TooManyRoutes {
         /// The route.
         name: String,
         /// Its place.
-        at: usize,
+        route_index: usize,
     },
 }
 
-impl Conflict {
+impl RouteConflict {
     /// The place of the route at fault among those that were handed in.
-    pub fn at(&self) -> usize {
+    pub fn route_index(&self) -> usize {
         match self {
-            Conflict::Ambiguous { at, .. } | Conflict::Crowded { at, .. } => *at,
+            RouteConflict::Ambiguous { route_index, .. }
+            | RouteConflict::TooManyRoutes { route_index, .. } => *route_index,
         }
     }
 }
 
 /// The values of a template's parameters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Params<'p> {
-    values: [&'p str; MOST_PARAMS],
+pub struct PathParams<'p> {
+    values: [&'p str; MAX_PARAMS],
     n: usize,
 }
 
-impl<'p> Params<'p> {
+impl<'p> PathParams<'p> {
     /// The value of the parameter at this place.
-    pub fn get(&self, at: usize) -> Option<&'p str> {
-        self.values[..self.n].get(at).copied()
+    pub fn get(&self, index: usize) -> Option<&'p str> {
+        self.values[..self.n].get(index).copied()
     }
 }
 
 /// A route that fits, and the values of its path's parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Match<'p> {
+pub struct RouteMatch<'p> {
     /// Its place among the routes that were handed in.
-    pub route: usize,
+    pub route_index: usize,
     /// The parameters, in the order of its pattern.
-    pub params: Params<'p>,
+    pub params: PathParams<'p>,
 }
 
 /// What a literal segment leads to. Most nodes have one, which is compared and not hashed: with many routes the
@@ -115,7 +116,7 @@
 }
 
 /// The routes of one version.
-pub struct Table {
+pub struct RouteTable {
     matchers: Vec<Matcher>,
     nodes: Vec<Node>,
     /// The roots of the tries.
@@ -124,11 +125,11 @@
     any: u32,
 }
 
-impl Table {
+impl RouteTable {
     /// The table of these routes, or all the reasons why they can't stand together.
-    pub fn new(routes: Vec<(String, Matcher)>) -> Result<Table, Vec<Conflict>> {
+    pub fn new(routes: Vec<(String, Matcher)>) -> Result<RouteTable, Vec<RouteConflict>> {
         let (names, matchers): (Vec<_>, Vec<_>) = routes.into_iter().unzip();
-        let mut t = Table {
+        let mut t = RouteTable {
             matchers,
             nodes: vec![Node::default()],
             exact: FxHashMap::default(),
@@ -138,24 +139,24 @@
         let mut conflicts = Vec::new();
         for at in 0..t.matchers.len() {
             let node = t.place(at);
-            let prefix = t.matchers[at].path.prefix;
+            let prefix = t.matchers[at].path.is_prefix;
             let list = if prefix { &t.nodes[node].prefixes } else { &t.nodes[node].ends };
             let this = &t.matchers[at];
             let clash = list.iter().find(|other| {
                 let other = &t.matchers[other.route as usize];
-                other.field_rank() == this.field_rank() && !other.excludes(this)
+                other.field_specificity() == this.field_specificity() && !other.excludes(this)
             });
             if let Some(first) = clash {
                 let (first, second) = (names[first.route as usize].clone(), names[at].clone());
-                conflicts.push(Conflict::Ambiguous { first, second, at });
+                conflicts.push(RouteConflict::Ambiguous { first, second, route_index: at });
                 continue;
             }
-            if list.len() == MOST_AT_ONE_PATH {
-                conflicts.push(Conflict::Crowded { name: names[at].clone(), at });
+            if list.len() == MAX_ROUTES_PER_PATH {
+                conflicts.push(RouteConflict::TooManyRoutes { name: names[at].clone(), route_index: at });
                 continue;
             }
-            let rank = this.field_rank();
-            let place = list.iter().position(|o| t.matchers[o.route as usize].field_rank() < rank);
+            let rank = this.field_specificity();
+            let place = list.iter().position(|o| t.matchers[o.route as usize].field_specificity() < rank);
             let place = place.unwrap_or(list.len());
             let node = &mut t.nodes[node];
             let list = if prefix { &mut node.prefixes } else { &mut node.ends };
@@ -174,23 +175,23 @@
     }
 
     /// The node at which a route's path ends.
-    fn place(&mut self, at: usize) -> usize {
-        let host = self.matchers[at].host.clone();
+    fn place(&mut self, route_index: usize) -> usize {
+        let host = self.matchers[route_index].host.clone();
         let root = match &host {
             HostPattern::Any => Some(self.any),
             HostPattern::Exact(name) => self.exact.get(name).copied(),
-            HostPattern::Under(domain) => self.under.get(domain).copied(),
+            HostPattern::Subdomains(domain) => self.under.get(domain).copied(),
         };
         let mut here = root.unwrap_or_else(|| {
             let root = self.add();
             match host {
                 HostPattern::Any => {}
                 HostPattern::Exact(name) => drop(self.exact.insert(name, root)),
-                HostPattern::Under(domain) => drop(self.under.insert(domain, root)),
+                HostPattern::Subdomains(domain) => drop(self.under.insert(domain, root)),
             }
             root
         });
-        for segment in self.matchers[at].path.segments.clone() {
+        for segment in self.matchers[route_index].path.segments.clone() {
             let node = &self.nodes[here as usize];
             let next = match &segment {
                 Segment::Literal(text) => node.literals.get(text),
@@ -210,17 +211,17 @@
     }
 
     /// The most specific route that fits, if any does. A path with a `.` or `..` segment fits none.
-    pub fn find<'p>(&self, s: &Subject<'p>) -> Option<Match<'p>> {
+    pub fn find<'p>(&self, s: &RequestView<'p>) -> Option<RouteMatch<'p>> {
         let rest = first_segment(s.path)?;
         if has_dot_segment(s.path) {
             return None;
         }
         let mut lower = [0; 255];
         let host = lower_host(s.host, &mut lower);
-        let mut params = Params::default();
+        let mut params = PathParams::default();
         let mut search = |root: u32| {
             params.n = 0;
-            self.walk(root, rest, 0, s, &mut params).map(|route| Match { route, params })
+            self.walk(root, rest, 0, s, &mut params).map(|route_index| RouteMatch { route_index, params })
         };
         if let Some(found) = host.and_then(|h| self.exact.get(h)).and_then(|&root| search(root)) {
             return Some(found);
@@ -241,12 +242,12 @@
         node: u32,
         rest: Option<&'p str>,
         depth: usize,
-        s: &Subject<'p>,
-        params: &mut Params<'p>,
+        s: &RequestView<'p>,
+        params: &mut PathParams<'p>,
     ) -> Option<usize> {
         let node = &self.nodes[node as usize];
         let fits = |list: &[End]| {
-            let fit = |e: &&End| e.plain || self.matchers[e.route as usize].fields_fit(s);
+            let fit = |e: &&End| e.plain || self.matchers[e.route as usize].matches_fields(s);
             list.iter().find(fit).map(|e| e.route as usize)
         };
         match rest {
@@ -255,7 +256,7 @@
                     return Some(found);
                 }
             }
-            Some(text) if depth < MOST_SEGMENTS => {
+            Some(text) if depth < MAX_SEGMENTS => {
                 let (part, tail) = next_segment(text);
                 if let Some(next) = node.literals.get(part) {
                     if let Some(found) = self.walk(next, tail, depth + 1, s, params) {
--- a/crates/routing/src/table_tests.rs
+++ b/crates/routing/src/table_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn subject<'a>(method: &'a str, host: &'a str, path: &'a str, query: &'a str) -> Subject<'a> {
+fn subject<'a>(method: &'a str, host: &'a str, path: &'a str, query: &'a str) -> RequestView<'a> {
     const NONE: &[(String, String)] = &[];
     struct None;
     impl Headers for None {
@@ -11,7 +11,7 @@
             NONE.header(name)
         }
     }
-    Subject { method, host, path, query, headers: &None }
+    RequestView { method, host, path, query, headers: &None }
 }
 
 fn matcher(host: &str, path: &str, prefix: bool, methods: &[&str]) -> Matcher {
@@ -23,8 +23,8 @@
     }
 }
 
-fn table(routes: &[Matcher]) -> Result<Table, Vec<Conflict>> {
-    Table::new(routes.iter().enumerate().map(|(i, m)| (format!("r{i}"), m.clone())).collect())
+fn table(routes: &[Matcher]) -> Result<RouteTable, Vec<RouteConflict>> {
+    RouteTable::new(routes.iter().enumerate().map(|(i, m)| (format!("r{i}"), m.clone())).collect())
 }
 
 #[test]
@@ -37,7 +37,7 @@
         matcher("a.example.org", "/orders/{id}/lines/{line}", false, &[]),
     ])
     .unwrap_or_else(|_| panic!());
-    let route = |m, h, p| t.find(&subject(m, h, p, "")).map(|m| m.route);
+    let route = |m, h, p| t.find(&subject(m, h, p, "")).map(|m| m.route_index);
     assert_eq!(route("GET", "x", "/"), Some(0));
     assert_eq!(route("GET", "x", "/orders/new"), Some(1), "a literal that does not fit falls back");
     assert_eq!(route("POST", "x", "/orders/new"), Some(2));
@@ -47,7 +47,7 @@
     assert_eq!(route("GET", "a.example.org", "/ordersx"), Some(0), "prefixes are of whole segments");
     assert_eq!(route("GET", "a.example.org", "/orders/%2E./x"), None);
     let found = t.find(&subject("GET", "a.example.org", "/orders/7/lines/b", "")).unwrap();
-    assert_eq!((found.route, found.params.get(0), found.params.get(1)), (4, Some("7"), Some("b")));
+    assert_eq!((found.route_index, found.params.get(0), found.params.get(1)), (4, Some("7"), Some("b")));
     assert_eq!(found.params.get(2), None);
 }
 
@@ -56,30 +56,33 @@
     let conflict = |routes: &[Matcher]| table(routes).err().unwrap_or_default();
     let a = matcher("*", "/a/{x}", false, &["GET", "POST"]);
     let b = matcher("*", "/a/{y}", false, &["POST"]);
-    let ambiguous = Conflict::Ambiguous { first: "r0".into(), second: "r1".into(), at: 1 };
+    let ambiguous = RouteConflict::Ambiguous { first: "r0".into(), second: "r1".into(), route_index: 1 };
     assert_eq!(conflict(&[a.clone(), b.clone()]), [ambiguous]);
     assert_eq!(conflict(&[a.clone(), matcher("*", "/a/{x}", false, &["PUT"])]), []);
     let header = |value: &str| {
-        let test = FieldTest { name: "x".into(), test: Test::Equals(value.into()) };
+        let test = FieldTest { name: "x".into(), test: ValueTest::Equals(value.into()) };
         Matcher { headers: vec![test], ..a.clone() }
     };
     assert_eq!(conflict(&[header("1"), header("2"), a.clone()]), []);
     assert_eq!(conflict(&[header("1"), header("1")]).len(), 1);
-    let many: Vec<_> = (0..=MOST_AT_ONE_PATH).map(|i| header(&i.to_string())).collect();
-    assert!(matches!(&conflict(&many)[..], [Conflict::Crowded { at: MOST_AT_ONE_PATH, .. }]));
+    let many: Vec<_> = (0..=MAX_ROUTES_PER_PATH).map(|i| header(&i.to_string())).collect();
+    assert!(matches!(
+        &conflict(&many)[..],
+        [RouteConflict::TooManyRoutes { route_index: MAX_ROUTES_PER_PATH, .. }]
+    ));
 }
 
 #[test]
 fn patterns_that_can_never_fit_are_refused() {
     let bad = |text: &str| PathPattern::parse(text, false).unwrap_err();
-    assert_eq!(bad("a"), PatternError::NoSlash("a".into()));
-    assert_eq!(bad("/a/{x}/{x}"), PatternError::Twice("x".into()));
-    assert_eq!(bad("/a/x{y}"), PatternError::Braces("x{y}".into()));
-    assert_eq!(bad("/a/../b"), PatternError::Never("/a/../b".into()));
-    assert_eq!(bad("/a?b"), PatternError::Never("/a?b".into()));
+    assert_eq!(bad("a"), PatternError::MissingLeadingSlash("a".into()));
+    assert_eq!(bad("/a/{x}/{x}"), PatternError::DuplicateParam("x".into()));
+    assert_eq!(bad("/a/x{y}"), PatternError::MisplacedBraces("x{y}".into()));
+    assert_eq!(bad("/a/../b"), PatternError::Unmatchable("/a/../b".into()));
+    assert_eq!(bad("/a?b"), PatternError::Unmatchable("/a?b".into()));
     assert_eq!(
         bad("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}"),
-        PatternError::Params("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}".into())
+        PatternError::TooManyParams("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}".into())
     );
     assert!(HostPattern::parse("a..b").is_err() && HostPattern::parse("").is_err());
 }
@@ -93,10 +96,10 @@
     let path = prop::collection::vec(segment(), 0..4);
     let methods = prop::sample::subsequence(vec!["GET", "POST", "PUT"], 0..=2);
     let field = prop::sample::select(vec![
-        Test::Present,
-        Test::Absent,
-        Test::Equals("1".into()),
-        Test::StartsWith("1".into()),
+        ValueTest::Present,
+        ValueTest::Absent,
+        ValueTest::Equals("1".into()),
+        ValueTest::StartsWith("1".into()),
     ]);
     (host, path, any::<bool>(), methods, prop::option::of(field)).prop_map(|(h, p, prefix, m, q)| {
         let mut n = 0;
@@ -142,11 +145,11 @@
             let s = subject(method, host, &path, query);
             let lower = host.to_lowercase();
             let name = lower.split(':').next().unwrap();
-            let fits = |m: &Matcher| m.host.fits(name) && m.path.fits(&path) && m.fields_fit(&s);
+            let fits = |m: &Matcher| m.host.matches(name) && m.path.matches(&path) && m.matches_fields(&s);
             let plain = (0..kept.len()).filter(|&i| fits(&kept[i]));
-            let plain = plain.max_by(|&i, &j| kept[i].compare(&kept[j]));
+            let plain = plain.max_by(|&i, &j| kept[i].compare_specificity(&kept[j]));
             let found = t.find(&s);
-            prop_assert_eq!(found.map(|f| f.route), plain, "{} {} {}", host, path, query);
+            prop_assert_eq!(found.map(|f| f.route_index), plain, "{} {} {}", host, path, query);
         }
     }
 
--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -10,7 +10,7 @@
 use crate::{ConnId, Net, Proxy, Reading, Watched};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use garnettally_decisions::facade::ListStanding;
+use garnettally_decisions::facade::ListFreshness;
 use slog::{info, warn};
 use std::collections::BTreeMap;
 use std::io;
@@ -338,13 +338,13 @@
     fn stats_text(&self, now: Instant) -> String {
         let at = self.net.clock.at(now);
         let is_stale = |p: &&Pool| {
-            p.decisions.list_standing(at).is_some_and(|report| report.standing == ListStanding::Stale)
+            p.decisions.list_standing(at).is_some_and(|report| report.freshness == ListFreshness::Stale)
         };
         let lists_stale = self.pools.iter().filter(is_stale).count();
         let pending = self.exchanges.pending();
         let mut gauges = Gauges { pending, lists_stale, ..Gauges::default() };
         for pool in self.pools.iter().filter(|p| !p.leaving) {
-            let (members, unavailable) = pool.health.members(at);
+            let (members, unavailable) = pool.health.node_counts(at);
             gauges.members += members;
             gauges.members_unavailable += unavailable;
         }
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -10,17 +10,17 @@
 use garnettally_model::key;
 use garnettally_routing::budget::HolderId;
 use garnettally_routing::failover;
-use garnettally_routing::pattern::Subject;
-use garnettally_routing::route::{Pools, Route};
+use garnettally_routing::pattern::RequestView;
+use garnettally_routing::route::{PoolChoice, Route};
 use garnettally_routing::stable_hash;
-use garnettally_routing::table::Table;
+use garnettally_routing::table::RouteTable;
 use rustc_hash::FxHashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// One version of the operator's file, in force.
 pub struct Version {
-    table: Table,
+    table: RouteTable,
     routes: Vec<Rc<RouteInForce>>,
     classes: Vec<(String, Effect)>,
     tenants: FxHashMap<String, TenantId>,
@@ -183,7 +183,7 @@
             }
         };
         let request = &*request;
-        let subject = Subject {
+        let subject = RequestView {
             method: &request.method,
             host: &request.host,
             path: request.path(),
@@ -191,16 +191,16 @@
             headers: request,
         };
         let found = version.table.find(&subject).ok_or(Unfit::Bad(Bad(404)))?;
-        let in_force = version.routes[found.route].clone();
+        let in_force = version.routes[found.route_index].clone();
         let route = &in_force.route;
         let refused = |retry_after| Unfit::Refused { retry_after, route: Some(in_force.clone()) };
         let (class, effect) = &version.classes[route.class.0 as usize];
-        let tenant = route.tenant.as_ref().and_then(|s| s.take(&subject, &found.params));
-        let key_text = route.key.as_ref().and_then(|s| s.take(&subject, &found.params));
+        let tenant = route.tenant.as_ref().and_then(|s| s.extract(&subject, &found.params));
+        let key_text = route.key.as_ref().and_then(|s| s.extract(&subject, &found.params));
         if matches!(effect, Effect::Keyed { .. }) && key_text.is_none() {
             return Err(Unfit::Bad(Bad(400)));
         }
-        let deadline = route.deadline.time(&subject, &found.params).map_err(|_| Unfit::Bad(Bad(400)))?;
+        let deadline = route.deadline.resolve(&subject, &found.params).map_err(|_| Unfit::Bad(Bad(400)))?;
         let (cost, repeat) = http::hints(request).map_err(Unfit::Bad)?;
         // Keys of one class are one space; what else is hashed is this process's own affair.
         let hashed = |text: &str| stable_hash(self.key_seed ^ u64::from(route.class.0), text.as_bytes());
@@ -215,15 +215,15 @@
         };
         let place = |place: usize| in_force.pools[place];
         let (mut pool, mut others) = match &route.pools {
-            Pools::One(only) => (place(*only), Vec::new()),
-            Pools::Split(split) => {
+            PoolChoice::Single(only) => (place(*only), Vec::new()),
+            PoolChoice::Split(split) => {
                 let none = refused(None);
                 (place(split.choose(spread).ok_or(none)?), Vec::new())
             }
-            Pools::Failover(list) => {
+            PoolChoice::Failover(list) => {
                 let ids: Vec<PoolId> = list.iter().map(|&p| place(p)).collect();
                 let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.fitness);
-                let first = failover::choose(fitness, at, spread).unwrap_or(0);
+                let first = failover::choose_pool(fitness, at, spread).unwrap_or(0);
                 let others = ids.iter().enumerate().filter(|(i, _)| *i != first).map(|(_, id)| *id);
                 (ids[first], others.collect())
             }
@@ -238,7 +238,7 @@
                     }
                     (pool, others) = (bound, Vec::new());
                 }
-                None if route.pools.several() && self.pins.full(at) => {
+                None if route.pools.has_several() && self.pins.is_full(at) => {
                     return Err(refused(Some(RETURN_AFTER)));
                 }
                 None => {}
@@ -266,7 +266,7 @@
             mirror: route
                 .mirror
                 .as_ref()
-                .filter(|m| m.takes(stable_hash(0, id.as_bytes())))
+                .filter(|m| m.selects(stable_hash(0, id.as_bytes())))
                 .map(|m| place(m.pool)),
             id,
             pin,
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use garnettally_config::file::Listener as Plan;
 use garnettally_decisions::facade::RequestId;
-use garnettally_routing::budget::{exceeds, HolderId, Refusal, Share};
+use garnettally_routing::budget::{exceeds_share, HolderId, Refusal, Share};
 use rustc_hash::FxHashMap;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
@@ -188,7 +188,7 @@
             held.entry(c.listener).or_default().1 += c.input.len() + c.ahead.len();
         }
         let at = held.keys().position(|&l| l == id).unwrap_or(usize::MAX);
-        exceeds(capacity, &held.into_values().collect::<Vec<_>>(), at)
+        exceeds_share(capacity, &held.into_values().collect::<Vec<_>>(), at)
     }
 
     /// Whether there is more to read.
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::upstreams::{Attempt, Ended, Target};
 use crate::{ConnId, Proxy};
 use garnettally_config::file::format::LogRequests;
-use garnettally_decisions::facade::{Ask, Code, Decision, ListStanding, Micros, Report, RequestId};
+use garnettally_decisions::facade::{Ask, Code, Decision, ListFreshness, Micros, Report, RequestId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slog::{debug, info};
 use std::rc::Rc;
@@ -317,7 +317,7 @@
         }
         let over = x.over;
         if let Some((key, _)) = x.pin.filter(|_| never_ran) {
-            self.pins.never_ran(key, x.pin_number);
+            self.pins.attempt_never_ran(key, x.pin_number);
         }
         if let Some(target) = ended.target {
             self.note_health(target, ended.code, Instant::now());
@@ -440,8 +440,8 @@
         let (asked, pin, once) = (x.request.clone(), x.pin, x.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
             let now = self.net.clock.at(Instant::now());
-            let several = x.route.as_ref().is_some_and(|r| r.route.pools.several());
-            let pinned = self.pins.sent(now, key, to.pool, now + window);
+            let several = x.route.as_ref().is_some_and(|r| r.route.pools.has_several());
+            let pinned = self.pins.record_attempt(now, key, to.pool, now + window);
             if let (Ok(number), Some(x)) = (pinned, self.exchanges.open.get_mut(&request)) {
                 x.pin_number = number;
             }
@@ -536,7 +536,7 @@
         let standing = self.pools.get(x.pool).and_then(|p| p.decisions.list_standing(now));
         Some(match standing {
             _ if x.sends + x.sends_before > 0 => RefusalReason::AttemptsFailed,
-            Some(s) if s.standing == ListStanding::Stale => RefusalReason::StaleList,
+            Some(s) if s.freshness == ListFreshness::Stale => RefusalReason::StaleList,
             _ => RefusalReason::NoRoom,
         })
     }
--- a/crates/serve/src/lease.rs
+++ b/crates/serve/src/lease.rs
@@ -20,15 +20,15 @@
     }
 
     pub fn join(&self, share: Share) -> HolderId {
-        self.0.borrow_mut().join(share)
+        self.0.borrow_mut().add_holder(share)
     }
 
     pub fn change(&self, id: HolderId, share: Share) {
-        self.0.borrow_mut().change(id, share);
+        self.0.borrow_mut().set_share(id, share);
     }
 
     pub fn leave(&self, id: HolderId) {
-        self.0.borrow_mut().leave(id);
+        self.0.borrow_mut().remove_holder(id);
     }
 
     pub fn resize(&self, capacity: usize) {
@@ -41,7 +41,7 @@
     }
 
     pub fn take(&self, holders: &[Option<HolderId>]) -> Result<Lease, Refusal> {
-        let permit = self.0.borrow_mut().take(holders)?;
+        let permit = self.0.borrow_mut().acquire(holders)?;
         Ok(Lease { from: self.clone(), permit: Some(permit) })
     }
 }
@@ -49,7 +49,7 @@
 impl Lease {
     /// Whether giving this up would let a holder have the unit that it was refused.
     pub fn helps(&self, holder: HolderId, why: Refusal) -> bool {
-        self.permit.as_ref().is_some_and(|p| p.helps(holder, why))
+        self.permit.as_ref().is_some_and(|p| p.would_admit(holder, why))
     }
 }
 
--- a/crates/serve/src/plan.rs
+++ b/crates/serve/src/plan.rs
@@ -7,7 +7,7 @@
 use garnettally_config::platform::Config;
 use garnettally_model::{HostList, Site};
 use garnettally_routing::budget::{HolderId, Share};
-use garnettally_routing::failover::Rules;
+use garnettally_routing::failover::FailoverRules;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
     /// Its share of the memory for unfinished answers, in bytes.
     pub memory: Share,
     /// When it is left in a failover list.
-    pub failover: Rules,
+    pub failover: FailoverRules,
     /// Any 2xx or 3xx answer serves a request.
     pub any_success: bool,
     /// Its nodes are shared by as many instances as the fleet has members.
@@ -99,7 +99,7 @@
             requests: Share::default(),
             connections: Share::default(),
             memory: Share::default(),
-            failover: Rules::default(),
+            failover: FailoverRules::default(),
             any_success: false,
             shared_by_fleet: false,
         }
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -9,11 +9,11 @@
 use crate::{Proxy, Shared};
 use garnettally_config::file::{Basis, Nodes};
 use garnettally_decisions::facade::{
-    Code, Decision, Decisions, ListStanding, Listed, Micros, Report, ServerId,
+    Code, Decision, Decisions, ListFreshness, Listed, Micros, Report, ServerId,
 };
 use garnettally_model::HostList;
 use garnettally_routing::budget::HolderId;
-use garnettally_routing::failover::{Change, Fitness};
+use garnettally_routing::failover::{PoolFailover, Transition};
 use garnettally_routing::health;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
@@ -38,8 +38,8 @@
     pub requests: HolderId,
     pub copies: HolderId,
     pub connections: HolderId,
-    pub health: health::Nodes,
-    pub fitness: Fitness,
+    pub health: health::NodeHealth,
+    pub fitness: PoolFailover,
     /// Requests and attempts that it still has.
     pub open: usize,
     /// Only being listed as draining binds.
@@ -55,7 +55,7 @@
     /// How far its module takes the wall clock to be ahead of its own.
     wall_ahead: Micros,
     /// What the log was last told of its list.
-    logged_standing: Option<ListStanding>,
+    logged_standing: Option<ListFreshness>,
     /// Its first call to discovery has had its time, or its list could be used without.
     is_started: bool,
     news: Vec<News>,
@@ -65,15 +65,15 @@
 impl Pool {
     /// Whether a request could go to one of its nodes, or may wait to hear of them.
     pub fn serves(&self) -> bool {
-        !self.leaving && (!self.told || self.health.ready() > 0)
+        !self.leaving && (!self.told || self.health.ready_count() > 0)
     }
 
     /// Whether it may take requests: a process that starts knows a list of any age, and waits for discovery's answer, but not
     /// for long.
     pub fn is_started(&self, now: Micros) -> bool {
-        let is_usable = |standing| matches!(standing, ListStanding::Watched | ListStanding::Leased);
+        let is_usable = |standing| matches!(standing, ListFreshness::Watched | ListFreshness::Leased);
         self.is_started
-            || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.standing))
+            || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
     }
 
     /// What the fleet's exchange of verdicts sees of it.
@@ -223,8 +223,8 @@
             requests,
             copies: self.budgets.copies.join(plan.requests),
             connections,
-            health: health::Nodes::default(),
-            fitness: Fitness::new(plan.failover, at),
+            health: health::NodeHealth::default(),
+            fitness: PoolFailover::new(plan.failover, at),
             open: 0,
             leaving: false,
             ready: false,
@@ -256,7 +256,7 @@
         self.budgets.requests.change(pool.requests, plan.requests);
         self.budgets.copies.change(pool.copies, plan.requests);
         self.budgets.connections.change(pool.connections, plan.connections);
-        pool.fitness.change(plan.failover.clone(), at);
+        pool.fitness.set_rules(plan.failover.clone(), at);
         pool.shared_by_fleet = plan.shared_by_fleet.then(|| pool.shared_by_fleet.unwrap_or((1, 0)));
         self.upstreams.set_terms(id, plan.terms(pool.connections));
         if pool.nodes.as_ref() == Some(&plan.nodes) {
@@ -346,7 +346,7 @@
             found.into_iter().filter_map(|(name, dial, state)| Some((number(&name)?, dial, state))).collect();
         if all {
             let named: rustc_hash::FxHashSet<ServerId> = found.iter().map(|f| f.0).collect();
-            let gone = pool.health.keep_listed(|id| named.contains(&id));
+            let gone = pool.health.retain_listed(|id| named.contains(&id));
             // Where only draining binds, being called gone is a hint that the module may doubt.
             left.extend(gone.iter().filter(|_| !hint).map(|&server| Target { pool: id, server }));
             // On the platform only draining binds: one that is left out may be sent to, and its connections cost.
@@ -357,7 +357,7 @@
         for (server, dial, state) in found {
             let target = Target { pool: id, server };
             pool.ready |= state == Listed::Ready;
-            pool.health.list(server, state);
+            pool.health.set_listed(server, state);
             if let Some(address) = dial {
                 self.upstreams.moved(&self.net, target, address);
             }
@@ -377,17 +377,17 @@
         let Some(pool) = self.pools.get_mut(id) else { return };
         pool.is_started = pool.is_started(now);
         let Some(report) = pool.decisions.list_standing(now) else { return };
-        if pool.logged_standing.replace(report.standing) == Some(report.standing) {
+        if pool.logged_standing.replace(report.freshness) == Some(report.freshness) {
             return;
         }
-        let state = match report.standing {
-            ListStanding::Watched => "watched",
-            ListStanding::Leased => "leased",
-            ListStanding::Stale => "stale",
-            ListStanding::Unverified => "unverified",
+        let state = match report.freshness {
+            ListFreshness::Watched => "watched",
+            ListFreshness::Leased => "leased",
+            ListFreshness::Stale => "stale",
+            ListFreshness::Unverified => "unverified",
         };
-        let asked_in = report.asked_at.map_or(0, |at| (at - now).0 / 1000);
-        info!(self.net.log, "the list of upstreams"; "state" => state, "ready" => pool.health.ready(),
+        let asked_in = report.next_call_at.map_or(0, |at| (at - now).0 / 1000);
+        info!(self.net.log, "the list of upstreams"; "state" => state, "ready" => pool.health.ready_count(),
             "asked_in_ms" => asked_in, "pool" => &pool.name);
     }
 
@@ -395,7 +395,7 @@
     pub fn note_health(&mut self, target: Target, code: Code, now: Instant) {
         let at = self.net.clock.at(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
-            pool.health.ended(at, target.server, code);
+            pool.health.attempt_ended(at, target.server, code);
         }
     }
 
@@ -416,9 +416,9 @@
             let share = pool.health.healthy_share(at);
             if let Some(change) = pool.fitness.update(at, share) {
                 let what = match change {
-                    Change::Left => "the pool is left: too few of its nodes are well",
-                    Change::Returning => "the pool is returned to",
-                    Change::Fit => "the pool has all its requests again",
+                    Transition::Left => "the pool is left: too few of its nodes are well",
+                    Transition::Returning => "the pool is returned to",
+                    Transition::Restored => "the pool has all its requests again",
                 };
                 info!(self.net.log, "{}", what; "pool" => &pool.name, "healthy" => share);
             }
--- a/crates/serve/src/reload.rs
+++ b/crates/serve/src/reload.rs
@@ -188,7 +188,7 @@
             }
         }
         self.budgets.requests.resize(operator.requests);
-        self.pins.resize(operator.pins);
+        self.pins.set_capacity(operator.pins);
         self.log_requests = operator.logging.requests;
         let (mut added, mut kept, mut replaced) = (Vec::new(), 0, Vec::new());
         let mut ids = Vec::new();
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -8,7 +8,7 @@
 use crate::socket_errors::is_local_shortage;
 use crate::{ConnId, Net, Proxy, Reading, Watched};
 use garnettally_decisions::facade::{Code, RequestId, ServerId};
-use garnettally_routing::budget::{exceeds, HolderId, Share};
+use garnettally_routing::budget::{exceeds_share, HolderId, Share};
 use rustc_hash::FxHashMap;
 use slog::{debug, warn};
 use std::cmp::Reverse;
@@ -103,7 +103,7 @@
             held.entry(c.upstream.pool).or_default().1 += c.input.len();
         }
         let at = held.keys().position(|&p| p == pool).unwrap_or(usize::MAX);
-        exceeds(capacity, &held.into_values().collect::<Vec<_>>(), at)
+        exceeds_share(capacity, &held.into_values().collect::<Vec<_>>(), at)
     }
 
     /// The terms of a pool's connections; at first, and whenever they have changed.
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registry {
     /// This process alone: it may be asked at any time.
-    Own,
+    Exclusive,
     /// So many instances at the least.
     Shared {
         /// How many of them are known of.
@@ -43,7 +43,7 @@
 
 /// What a process knows of the list that it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListStanding {
+pub enum ListFreshness {
     /// A watch is open: changes come as they are made.
     Watched,
     /// There is no watch, and the list may be used for now.
@@ -58,9 +58,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListReport {
     /// What is known of the list.
-    pub standing: ListStanding,
+    pub freshness: ListFreshness,
     /// When a watch is asked for, in microseconds of the caller's clock; `None`: a call is out, or a watch is open.
-    pub asked_at: Option<Micros>,
+    pub next_call_at: Option<Micros>,
     /// The first call of this process has had its time.
     pub is_started: bool,
 }
@@ -91,9 +91,9 @@
 impl Subscription {
     /// What an instance with these settings needs: nothing, where discovery need not be asked. Where it may be asked
     /// without a pause, it is the instance's own.
-    pub fn of(settings: &Settings, seed: u64, now: Micros) -> Option<Subscription> {
+    pub fn from_settings(settings: &Settings, seed: u64, now: Micros) -> Option<Subscription> {
         let registry = match settings.ask_within {
-            Micros(0) => Registry::Own,
+            Micros(0) => Registry::Exclusive,
             _ => Registry::Shared { instances: settings.instances },
         };
         let new = || Subscription::new(registry, seed, now).with_list_lease(settings.list_lease);
@@ -120,8 +120,8 @@
 
     /// Goes on from where another one is, which asked for the same watch until now; the size of the fleet and the lease stay
     /// its own.
-    pub fn go_on_from(&mut self, before: &Subscription) {
-        self.pace.go_on_from(&before.pace);
+    pub fn continue_from(&mut self, before: &Subscription) {
+        self.pace.continue_from(&before.pace);
         self.state = before.state;
         self.knowledge = before.knowledge;
         self.is_starting = before.is_starting;
@@ -155,19 +155,19 @@
     /// What is known of the list held, and when the next call is made.
     pub fn list_report(&self, now: Micros) -> ListReport {
         ListReport {
-            standing: self.list_standing(now),
-            asked_at: self.next_timeout(),
+            freshness: self.list_freshness(now),
+            next_call_at: self.next_timeout(),
             is_started: self.is_started(now),
         }
     }
 
     /// What is known of the list held.
-    fn list_standing(&self, now: Micros) -> ListStanding {
+    fn list_freshness(&self, now: Micros) -> ListFreshness {
         match (self.is_open(), self.is_stale(now)) {
-            (true, _) => ListStanding::Watched,
-            (false, false) => ListStanding::Leased,
-            (false, true) if self.knowledge.is_unverified() => ListStanding::Unverified,
-            (false, true) => ListStanding::Stale,
+            (true, _) => ListFreshness::Watched,
+            (false, false) => ListFreshness::Leased,
+            (false, true) if self.knowledge.is_unverified() => ListFreshness::Unverified,
+            (false, true) => ListFreshness::Stale,
         }
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// The head of an answer to the call has come: the registry can be reached.
-    pub fn answering(&mut self) {
+    pub fn answer_started(&mut self) {
         if let State::Asked { is_answering, .. } = &mut self.state {
             *is_answering = true;
             self.knowledge.was_reachable();
@@ -195,7 +195,7 @@
     }
 
     /// A list or a change has come on a watch, whoever opened it.
-    pub fn heard(&mut self) {
+    pub fn update_received(&mut self) {
         if self.is_open() {
             return;
         }
@@ -206,7 +206,7 @@
 
     /// The call has failed, or the watch has ended, on which up to `since` all changes have come. Returns whether a
     /// watch was open until now.
-    pub fn failed(&mut self, now: Micros, since: Micros, failure: CallFailure) -> bool {
+    pub fn call_or_watch_failed(&mut self, now: Micros, since: Micros, failure: CallFailure) -> bool {
         let was_open = self.is_open();
         match self.state {
             State::Waiting { .. } => {}
@@ -221,7 +221,7 @@
 
     /// The registry is at another address from now on. How the watch on the old one ended was told before; a call that was
     /// out is no more, and tells nothing.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn registry_moved(&mut self, now: Micros) {
         if self.is_open() {
             self.lost(now, now, CallFailure::WatchBroken);
         }
--- a/crates/subscription/src/pace.rs
+++ b/crates/subscription/src/pace.rs
@@ -100,7 +100,7 @@
     }
 
     /// Goes on from where another one is; the size of the fleet and the random numbers stay its own.
-    pub fn go_on_from(&mut self, before: &Pace) {
+    pub fn continue_from(&mut self, before: &Pace) {
         let (registry, random) = (self.registry, self.random.clone());
         *self = Pace { registry, random, ..before.clone() };
     }
@@ -113,7 +113,7 @@
 
     /// Whether the fleet is so small that it cannot crowd its registry, and each process asks often.
     pub fn is_small(&self) -> bool {
-        self.registry != Registry::Own && self.calls_of_all() <= FIRST_SPREAD
+        self.registry != Registry::Exclusive && self.calls_of_all() <= FIRST_SPREAD
     }
 
     /// How long after the loss of a watch the next answer comes, as a rule.
@@ -124,7 +124,7 @@
     /// When the first call of a process that starts now is made.
     pub fn first_call(&mut self, now: Micros) -> Micros {
         let spread = match self.registry {
-            Registry::Own => Micros(0),
+            Registry::Exclusive => Micros(0),
             Registry::Shared { .. } => START_SPREAD_MOST.min(FIRST_SPREAD + self.calls_of_all()),
         };
         now + self.within(spread)
@@ -175,7 +175,7 @@
     pub fn call_after_refusal(&mut self, asked: Micros, now: Micros, is_starting: bool) -> Micros {
         let least = now + self.jittered_pause();
         let next = match self.registry {
-            Registry::Own => now,
+            Registry::Exclusive => now,
             Registry::Shared { .. } => asked + self.jittered_cycle(is_starting),
         };
         next.max(least)
@@ -199,7 +199,7 @@
     /// Time that the calls of all instances take.
     fn calls_of_all(&self) -> Micros {
         match self.registry {
-            Registry::Own => Micros(0),
+            Registry::Exclusive => Micros(0),
             Registry::Shared { instances } => Micros(CALL.0 * i64::from(instances)),
         }
     }
@@ -215,7 +215,7 @@
 
     fn spread_after_loss(&self) -> Micros {
         match self.registry {
-            Registry::Own => Micros(0),
+            Registry::Exclusive => Micros(0),
             Registry::Shared { .. } => FIRST_SPREAD.max(self.asking_time()),
         }
     }
--- a/crates/subscription/tests/evidence.rs
+++ b/crates/subscription/tests/evidence.rs
@@ -1,7 +1,7 @@
 //! What each kind of failure proves, and what follows for the list: the table of docs/design/discovery.md.
 
 use garnettally_model::{CallFailure, Micros};
-use garnettally_subscription::{ListStanding, Registry, Subscription};
+use garnettally_subscription::{ListFreshness, Registry, Subscription};
 
 const SECOND: i64 = 1_000_000;
 const LEASE: Micros = Micros(6 * SECOND);
@@ -36,14 +36,14 @@
 fn lost_in(instances: u32, how: CallFailure) -> (Subscription, Micros) {
     let mut subscription = starting_in(instances);
     next_ask(&mut subscription);
-    subscription.heard();
+    subscription.update_received();
     let complete = Micros(100 * SECOND);
-    subscription.failed(complete + Micros(SECOND), complete, how);
+    subscription.call_or_watch_failed(complete + Micros(SECOND), complete, how);
     (subscription, complete)
 }
 
-fn standing(subscription: &Subscription, at: Micros) -> ListStanding {
-    subscription.list_report(at).standing
+fn standing(subscription: &Subscription, at: Micros) -> ListFreshness {
+    subscription.list_report(at).freshness
 }
 
 const UP: [CallFailure; 3] =
@@ -54,7 +54,7 @@
 /// A call that fails so two seconds after it was made; when it was made.
 fn fail_call(subscription: &mut Subscription, failure: CallFailure) -> Micros {
     let asked = next_ask(subscription);
-    subscription.failed(asked + Micros(2 * SECOND), asked, failure);
+    subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, failure);
     asked
 }
 
@@ -62,20 +62,20 @@
 fn the_list_of_the_start_is_used_only_once_nobody_can_reach_the_registry() {
     let after = |failure| {
         let mut subscription = starting();
-        assert_eq!(standing(&subscription, Micros(0)), ListStanding::Unverified);
+        assert_eq!(standing(&subscription, Micros(0)), ListFreshness::Unverified);
         let asked = fail_call(&mut subscription, failure);
         standing(&subscription, asked + Micros(2 * SECOND))
     };
     for failure in DOWN {
-        assert_eq!(after(failure), ListStanding::Leased, "{failure:?}");
+        assert_eq!(after(failure), ListFreshness::Leased, "{failure:?}");
     }
     for failure in UP {
-        assert_eq!(after(failure), ListStanding::Stale, "{failure:?}");
+        assert_eq!(after(failure), ListFreshness::Stale, "{failure:?}");
     }
     for failure in UNCLEAR {
-        assert_eq!(after(failure), ListStanding::Unverified, "{failure:?}");
+        assert_eq!(after(failure), ListFreshness::Unverified, "{failure:?}");
     }
-    assert_eq!(after(CallFailure::NoSocket), ListStanding::Unverified);
+    assert_eq!(after(CallFailure::NoSocket), ListFreshness::Unverified);
 }
 
 /// Guards against a crowd that lasts, and refuses all calls alike, passing for an outage.
@@ -86,10 +86,10 @@
         for call in 0..50 {
             let asked = fail_call(&mut subscription, failure);
             let found = standing(&subscription, asked + Micros(2 * SECOND));
-            assert_eq!(found, ListStanding::Unverified, "{failure:?}, call {call}");
+            assert_eq!(found, ListFreshness::Unverified, "{failure:?}, call {call}");
         }
         fail_call(&mut subscription, CallFailure::NoConnection);
-        assert_eq!(subscription.list_report(Micros(0)).standing, ListStanding::Leased, "{failure:?}");
+        assert_eq!(subscription.list_report(Micros(0)).freshness, ListFreshness::Leased, "{failure:?}");
     }
 }
 
@@ -120,8 +120,8 @@
         for _ in 0..50 {
             let asked = fail_call(&mut subscription, DOWN[0]);
             let good = asked + LEASE - Micros(1);
-            assert_eq!(standing(&subscription, good), ListStanding::Leased, "{how:?}");
-            assert_eq!(standing(&subscription, asked + LEASE), ListStanding::Stale, "{how:?}");
+            assert_eq!(standing(&subscription, good), ListFreshness::Leased, "{how:?}");
+            assert_eq!(standing(&subscription, asked + LEASE), ListFreshness::Stale, "{how:?}");
         }
     }
 }
@@ -133,27 +133,27 @@
     for failure in UNCLEAR {
         let (mut subscription, complete) = lost(CallFailure::WatchBroken);
         fail_call(&mut subscription, failure);
-        assert_eq!(standing(&subscription, complete + LEASE - Micros(1)), ListStanding::Leased);
+        assert_eq!(standing(&subscription, complete + LEASE - Micros(1)), ListFreshness::Leased);
         for _ in 0..20 {
             let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-            assert_eq!(standing(&subscription, asked), ListStanding::Stale, "{failure:?}");
+            assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}");
         }
         // In whose place the watch ended, a registry was up.
         let (mut subscription, complete) = lost_in(LARGE, CallFailure::WatchEnded);
         let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-        assert_eq!(standing(&subscription, asked), ListStanding::Stale, "{failure:?}");
+        assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}");
     }
     let (mut subscription, complete) = lost_in(LARGE, CallFailure::WatchBroken);
     for _ in 0..50 {
         let asked = fail_call(&mut subscription, CallFailure::Busy);
         let good = asked.min(complete + DOUBT_MOST) + LEASE;
-        assert_eq!(standing(&subscription, good - Micros(1)), ListStanding::Leased);
+        assert_eq!(standing(&subscription, good - Micros(1)), ListFreshness::Leased);
         let ended = good.max(asked);
-        assert_eq!(standing(&subscription, ended), ListStanding::Stale, "{asked:?}");
+        assert_eq!(standing(&subscription, ended), ListFreshness::Stale, "{asked:?}");
     }
     // A call that is out does no more than one that has failed.
     let out_for_long = next_ask(&mut subscription) + Micros(3 * SECOND);
-    assert_eq!(standing(&subscription, out_for_long), ListStanding::Stale);
+    assert_eq!(standing(&subscription, out_for_long), ListFreshness::Stale);
 }
 
 /// Guards against calls that come up and bring no byte passing for an outage: somebody is there, and does not hear this process.
@@ -164,10 +164,10 @@
             let (mut subscription, complete) = lost_in(instances, CallFailure::WatchBroken);
             for _ in 0..20 {
                 let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-                assert_eq!(standing(&subscription, asked), ListStanding::Stale, "{failure:?}, {instances}");
+                assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}, {instances}");
                 // Nor does a call that is out for long.
                 let out_for_long = asked + Micros(3 * SECOND);
-                assert_eq!(standing(&subscription, out_for_long), ListStanding::Stale, "{failure:?}");
+                assert_eq!(standing(&subscription, out_for_long), ListFreshness::Stale, "{failure:?}");
             }
         }
     }
@@ -179,11 +179,11 @@
     let (mut subscription, complete) = lost_in(990, CallFailure::WatchBroken);
     let mut asked = next_ask(&mut subscription);
     while asked < complete + LEASE {
-        subscription.failed(asked + Micros(2 * SECOND), asked, CallFailure::ClosedBeforeAnswer);
+        subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, CallFailure::ClosedBeforeAnswer);
         asked = next_ask(&mut subscription);
     }
-    subscription.failed(asked + Micros(2 * SECOND), asked, CallFailure::Busy);
-    assert_eq!(standing(&subscription, asked + Micros(2 * SECOND)), ListStanding::Stale);
+    subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, CallFailure::Busy);
+    assert_eq!(standing(&subscription, asked + Micros(2 * SECOND)), ListFreshness::Stale);
 }
 
 /// Guards against a call that is out, and so has a connection, passing for one that meets nobody in a small fleet.
@@ -193,7 +193,7 @@
     let asked = fail_call(&mut subscription, CallFailure::NoConnection);
     let out = next_ask(&mut subscription);
     let late = (out + Micros(3 * SECOND)).max(asked + LEASE);
-    assert_eq!(standing(&subscription, late), ListStanding::Stale);
+    assert_eq!(standing(&subscription, late), ListFreshness::Stale);
 }
 
 /// Guards against an answer that was begun, or that cannot be used, passing for an outage.
@@ -202,15 +202,15 @@
     for failure in UP {
         let (mut subscription, complete) = lost(CallFailure::WatchEnded);
         fail_call(&mut subscription, failure);
-        assert_eq!(standing(&subscription, complete + LEASE), ListStanding::Stale, "{failure:?}");
+        assert_eq!(standing(&subscription, complete + LEASE), ListFreshness::Stale, "{failure:?}");
         for later in DOWN.into_iter().chain(UNCLEAR).chain([CallFailure::NoSocket]) {
             let asked = fail_call(&mut subscription, later);
             let ended = (asked + Micros(2 * SECOND)).max(complete + LEASE);
-            assert_eq!(standing(&subscription, ended), ListStanding::Stale, "{failure:?}, {later:?}");
+            assert_eq!(standing(&subscription, ended), ListFreshness::Stale, "{failure:?}, {later:?}");
         }
         next_ask(&mut subscription);
-        subscription.heard();
-        assert_eq!(standing(&subscription, complete + LEASE), ListStanding::Watched);
+        subscription.update_received();
+        assert_eq!(standing(&subscription, complete + LEASE), ListFreshness::Watched);
     }
 }
 
@@ -224,11 +224,11 @@
             while asked < complete + LEASE {
                 asked = fail_call(&mut subscription, later);
             }
-            assert_eq!(standing(&subscription, asked), ListStanding::Stale, "{how:?}, {later:?}");
+            assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{how:?}, {later:?}");
             // Nor does a call that is out for long.
             let again = next_ask(&mut subscription);
             let long_out = again + Micros(3 * SECOND);
-            assert_eq!(standing(&subscription, long_out), ListStanding::Stale, "{how:?}, {later:?}");
+            assert_eq!(standing(&subscription, long_out), ListFreshness::Stale, "{how:?}, {later:?}");
         }
     }
 }
@@ -240,9 +240,9 @@
     // Past the lease of the one before.
     let asked = next_ask(&mut subscription);
     let late = asked + Micros(5 * SECOND);
-    assert_eq!(standing(&subscription, late), ListStanding::Leased);
-    subscription.answering();
-    assert_eq!(standing(&subscription, late), ListStanding::Stale);
+    assert_eq!(standing(&subscription, late), ListFreshness::Leased);
+    subscription.answer_started();
+    assert_eq!(standing(&subscription, late), ListFreshness::Stale);
 }
 
 /// Guards against a move of discovery that gives a list a new life.
@@ -251,15 +251,15 @@
     for how in [CallFailure::WatchEnded, CallFailure::WatchSilent] {
         let (mut subscription, complete) = lost(how);
         for moves in 1..=5 {
-            subscription.moved(complete + Micros(moves * SECOND));
+            subscription.registry_moved(complete + Micros(moves * SECOND));
         }
         let good = complete + Micros(SECOND) + AFTER_LOSS;
-        assert_eq!(standing(&subscription, good - Micros(1)), ListStanding::Leased);
-        assert_eq!(standing(&subscription, good), ListStanding::Stale);
+        assert_eq!(standing(&subscription, good - Micros(1)), ListFreshness::Leased);
+        assert_eq!(standing(&subscription, good), ListFreshness::Stale);
     }
     let mut subscription = starting();
-    subscription.moved(Micros(SECOND));
-    assert_eq!(standing(&subscription, Micros(SECOND)), ListStanding::Unverified);
+    subscription.registry_moved(Micros(SECOND));
+    assert_eq!(standing(&subscription, Micros(SECOND)), ListFreshness::Unverified);
 }
 
 /// Guards against a process that is put off for as long as new configurations come one behind the other.
@@ -273,7 +273,7 @@
             now += Micros(SECOND / 10);
             asked = subscription.poll(now).then_some(now);
             if asked.is_none() {
-                subscription.moved(now);
+                subscription.registry_moved(now);
             }
         }
         assert!(asked.is_some_and(|at| at <= lost + Micros(6_200_000)), "{instances}: {asked:?}");
@@ -286,13 +286,13 @@
     let (mut before, complete) = lost(CallFailure::WatchSilent);
     fail_call(&mut before, CallFailure::NoConnection);
     let mut after = starting();
-    after.go_on_from(&before);
+    after.continue_from(&before);
     let good = complete + Micros(SECOND) + AFTER_LOSS;
-    assert_eq!(standing(&after, good - Micros(1)), ListStanding::Leased);
-    assert_eq!(standing(&after, good), ListStanding::Stale);
+    assert_eq!(standing(&after, good - Micros(1)), ListFreshness::Leased);
+    assert_eq!(standing(&after, good), ListFreshness::Stale);
     let mut after = starting();
-    after.go_on_from(&starting());
-    assert_eq!(standing(&after, Micros(0)), ListStanding::Unverified);
+    after.continue_from(&starting());
+    assert_eq!(standing(&after, Micros(0)), ListFreshness::Unverified);
 }
 
 /// However large the fleet, a process asks soon: until then it has no list that it may use.
--- a/crates/subscription/tests/pace.rs
+++ b/crates/subscription/tests/pace.rs
@@ -15,7 +15,7 @@
 
 /// A call is refused, or the watch ends.
 fn refuse(subscription: &mut Subscription, at: Micros) -> bool {
-    subscription.failed(at, at, CallFailure::Busy)
+    subscription.call_or_watch_failed(at, at, CallFailure::Busy)
 }
 
 /// Lets time pass until the watch is asked for.
@@ -29,12 +29,12 @@
 #[test]
 fn settings_tell_whether_and_whom_to_ask() {
     let pushed = Settings { must_ask: false, ..Settings::default() };
-    assert!(Subscription::of(&pushed, 1, Micros(0)).is_none());
+    assert!(Subscription::from_settings(&pushed, 1, Micros(0)).is_none());
     let own = Settings { must_ask: true, ask_within: Micros(0), ..Settings::default() };
-    let own = Subscription::of(&own, 1, Micros(7)).expect("it asks");
+    let own = Subscription::from_settings(&own, 1, Micros(7)).expect("it asks");
     assert_eq!(own.next_timeout(), Some(Micros(7)));
     let asked = Settings { must_ask: true, instances: 100, ..Settings::default() };
-    let firsts = (0..50).map(|seed| Subscription::of(&asked, seed, Micros(0)).expect("it asks"));
+    let firsts = (0..50).map(|seed| Subscription::from_settings(&asked, seed, Micros(0)).expect("it asks"));
     let firsts: Vec<i64> = firsts.map(|s| s.next_timeout().expect("it waits").0).collect();
     assert!(firsts.iter().any(|&at| at < SECOND / 2) && firsts.iter().any(|&at| at > SECOND), "{firsts:?}");
     assert!(firsts.iter().all(|&at| at <= 400_000 + 100 * 22_000), "{firsts:?}");
@@ -46,7 +46,7 @@
     next_ask(&mut subscription);
     assert_eq!(subscription.next_timeout(), None);
     assert!(!subscription.poll(Micros(i64::MAX)));
-    subscription.heard();
+    subscription.update_received();
     assert!(subscription.is_open());
     assert_eq!(subscription.next_timeout(), None);
 }
@@ -92,10 +92,10 @@
         assert!((again - asked).0 <= 4 * SECOND, "{asked:?} {again:?}");
         asked = again;
     }
-    subscription.heard();
+    subscription.update_received();
     refuse(&mut subscription, asked);
     asked = next_ask(&mut subscription);
-    subscription.heard();
+    subscription.update_received();
     refuse(&mut subscription, asked);
     let again = next_ask(&mut subscription);
     assert!((again - asked).0 <= 2 * SECOND, "{asked:?} {again:?}");
@@ -127,7 +127,7 @@
     let last = cycles[cycles.len() - 1];
     assert!((28 * SECOND..=32 * SECOND).contains(&last), "{cycles:?}");
     for _ in 0..10 {
-        subscription.heard();
+        subscription.update_received();
         refuse(&mut subscription, asked);
         asked = next_ask(&mut subscription);
     }
@@ -160,7 +160,7 @@
     // Or nobody is there.
     let (mut subscription, mut asked) = overloaded();
     for _ in 0..4 {
-        subscription.failed(asked, asked, CallFailure::NoConnection);
+        subscription.call_or_watch_failed(asked, asked, CallFailure::NoConnection);
         let again = next_ask(&mut subscription);
         (cycle, asked) = (again - asked, again);
     }
@@ -200,12 +200,12 @@
 
 #[test]
 fn a_registry_of_its_own_is_asked_again_at_once() {
-    let mut subscription = Subscription::new(Registry::Own, 1, Micros(0));
+    let mut subscription = Subscription::new(Registry::Exclusive, 1, Micros(0));
     let asked = next_ask(&mut subscription);
     assert_eq!(asked, Micros(0));
     refuse(&mut subscription, Micros(SECOND));
     assert!((next_ask(&mut subscription).0 - SECOND) <= SECOND / 5);
-    subscription.heard();
+    subscription.update_received();
     assert!(refuse(&mut subscription, Micros(2 * SECOND)));
     assert_eq!(next_ask(&mut subscription), Micros(2 * SECOND));
 }
@@ -218,13 +218,13 @@
         for seed in 0..100 {
             let mut subscription = shared(instances, seed);
             next_ask(&mut subscription);
-            subscription.heard();
+            subscription.update_received();
             let lost = Micros(100 * SECOND);
             assert!(refuse(&mut subscription, lost), "a watch was open");
             assert!(!refuse(&mut subscription, lost), "none was");
             assert!(next_ask(&mut subscription) - lost <= Micros(5_600_000));
-            subscription.heard();
-            subscription.moved(lost);
+            subscription.update_received();
+            subscription.registry_moved(lost);
             assert!(!subscription.is_open());
             assert!(next_ask(&mut subscription) - lost <= Micros(5_600_000));
         }
@@ -235,9 +235,9 @@
 fn without_watch() -> (Subscription, Micros) {
     let mut subscription = shared(MID_SIZE, 1).with_list_lease(Some(Micros(6 * SECOND)));
     next_ask(&mut subscription);
-    subscription.heard();
+    subscription.update_received();
     let lost = Micros(100 * SECOND);
-    subscription.failed(lost + Micros(3 * SECOND), lost, CallFailure::NoConnection);
+    subscription.call_or_watch_failed(lost + Micros(3 * SECOND), lost, CallFailure::NoConnection);
     (subscription, lost)
 }
 
@@ -248,7 +248,7 @@
     assert_eq!([0, 5, 6, 15, 16, 600].map(stale_at), [false, false, true, true, true, true]);
     let (mut subscription, lost) = without_watch();
     // A watch that somebody else opened counts as well.
-    subscription.heard();
+    subscription.update_received();
     assert!(!subscription.is_stale(lost + Micros(10 * SECOND)) && subscription.is_open());
 }
 
@@ -264,7 +264,7 @@
     for failure in [CallFailure::Busy, CallFailure::NoConnection] {
         let (mut subscription, _) = without_watch();
         let asked = next_ask(&mut subscription);
-        subscription.failed(asked + Micros(2 * SECOND), asked, failure);
+        subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, failure);
         assert!(!subscription.is_stale(asked + Micros(6 * SECOND - 1)), "{failure:?}");
         assert!(subscription.is_stale(asked + Micros(6 * SECOND)), "{failure:?}");
         // The next call has been out for too long to be answered.
@@ -289,7 +289,7 @@
     let (mut subscription, lost) = without_watch();
     let mut asked = next_ask(&mut subscription);
     for _ in 0..20 {
-        subscription.failed(asked, asked, CallFailure::NoSocket);
+        subscription.call_or_watch_failed(asked, asked, CallFailure::NoSocket);
         let again = next_ask(&mut subscription);
         assert!((again - asked).0 <= SECOND, "{asked:?} {again:?}");
         asked = again;
@@ -302,12 +302,12 @@
     let mut subscription = shared(180, 4);
     let mut asked = next_ask(&mut subscription);
     for _ in 0..2 {
-        subscription.failed(asked + Micros(SECOND), asked, CallFailure::NoConnection);
+        subscription.call_or_watch_failed(asked + Micros(SECOND), asked, CallFailure::NoConnection);
         let again = next_ask(&mut subscription);
         assert!((again - asked).0 <= 2 * SECOND, "{asked:?} {again:?}");
         asked = again;
     }
-    subscription.failed(asked, asked, CallFailure::NoConnection);
+    subscription.call_or_watch_failed(asked, asked, CallFailure::NoConnection);
     assert!((next_ask(&mut subscription) - asked).0 >= 3 * SECOND);
 }
 
@@ -316,6 +316,6 @@
 fn in_a_large_fleet_a_call_that_reached_nobody_is_repeated_a_cycle_later() {
     let mut subscription = shared(300, 4);
     let asked = next_ask(&mut subscription);
-    subscription.failed(asked + Micros(SECOND), asked, CallFailure::NoConnection);
+    subscription.call_or_watch_failed(asked + Micros(SECOND), asked, CallFailure::NoConnection);
     assert!((next_ask(&mut subscription) - asked).0 >= 5 * SECOND);
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -3,10 +3,10 @@
 use clap::Args;
 use garnettally_config::file::{self, Operator};
 use garnettally_decisions::Effect;
-use garnettally_routing::pattern::{Headers, HostPattern, Matcher, Segment, Subject, Test};
-use garnettally_routing::route::{Pools, Route, Source};
+use garnettally_routing::pattern::{Headers, HostPattern, Matcher, RequestView, Segment, ValueTest};
+use garnettally_routing::route::{PoolChoice, Route, ValueSource};
 use garnettally_routing::stable_hash;
-use garnettally_routing::table::Params;
+use garnettally_routing::table::PathParams;
 use std::fmt::Write;
 
 /// The request to explain.
@@ -47,18 +47,19 @@
         let operator = file::load(&self.file).map_err(|problems| super::refused(&self.file, &problems))?;
         let given = Given(&self.headers);
         let (path, query) = self.path.split_once('?').unwrap_or((&self.path, ""));
-        let s = Subject { method: &self.method, host: &self.host, path, query, headers: &given };
+        let s = RequestView { method: &self.method, host: &self.host, path, query, headers: &given };
         match operator.table.find(&s) {
-            Some(found) => Ok(told(&operator, &s, found.route, &found.params)),
+            Some(found) => Ok(told(&operator, &s, found.route_index, &found.params)),
             None => Err(format!("no route of {} matches: it gets 404{}", self.file, nearly(&operator, &s))),
         }
     }
 }
 
 /// Routes that fit but for method, headers or query.
-fn nearly(o: &Operator, s: &Subject<'_>) -> String {
+fn nearly(o: &Operator, s: &RequestView<'_>) -> String {
     let host = host_of(s);
-    let near = o.routes.iter().filter(|(r, _)| r.matcher.host.fits(&host) && r.matcher.path.fits(s.path));
+    let near =
+        o.routes.iter().filter(|(r, _)| r.matcher.host.matches(&host) && r.matcher.path.matches(s.path));
     let names: Vec<&str> = near.map(|(r, _)| r.name.as_str()).take(5).collect();
     match names.is_empty() {
         true => String::new(),
@@ -66,13 +67,13 @@
     }
 }
 
-fn host_of(s: &Subject<'_>) -> String {
+fn host_of(s: &RequestView<'_>) -> String {
     let host =
         s.host.rsplit_once(':').filter(|(_, port)| !port.contains(']')).map_or(s.host, |(host, _)| host);
     host.trim_end_matches('.').to_ascii_lowercase()
 }
 
-fn told(o: &Operator, s: &Subject<'_>, at: usize, params: &Params<'_>) -> String {
+fn told(o: &Operator, s: &RequestView<'_>, at: usize, params: &PathParams<'_>) -> String {
     let (route, _) = &o.routes[at];
     let mut out = String::new();
     let mut line = |name: &str, value: String| {
@@ -81,11 +82,12 @@
     line("route", route.name.clone());
     line("because", matcher(&route.matcher));
     let host = host_of(s);
-    let fits =
-        |r: &&Route| r.matcher.host.fits(&host) && r.matcher.path.fits(s.path) && r.matcher.fields_fit(s);
+    let fits = |r: &&Route| {
+        r.matcher.host.matches(&host) && r.matcher.path.matches(s.path) && r.matcher.matches_fields(s)
+    };
     let mut others: Vec<&Route> =
         o.routes.iter().map(|(r, _)| r).filter(|r| r.name != route.name).filter(fits).collect();
-    others.sort_by(|a, b| b.matcher.compare(&a.matcher));
+    others.sort_by(|a, b| b.matcher.compare_specificity(&a.matcher));
     for other in others.iter().take(5) {
         line("not", format!("{}: less specific, {}", other.name, matcher(&other.matcher)));
     }
@@ -95,9 +97,9 @@
         Effect::Unsafe => "never repeated".to_string(),
     };
     line("class", format!("{}: {effect}", o.classes[route.class.0 as usize]));
-    let value = |source: &Option<Source>| match source {
+    let value = |source: &Option<ValueSource>| match source {
         None => ("none: the route names no source".to_string(), None),
-        Some(source) => match source.take(s, params) {
+        Some(source) => match source.extract(s, params) {
             Some(v) => (format!("{v} (from {})", from(source)), Some(v.into_owned())),
             None => (format!("none: the request has no {}", from(source)), None),
         },
@@ -112,7 +114,7 @@
     }
     line(
         "deadline",
-        match route.deadline.time(s, params) {
+        match route.deadline.resolve(s, params) {
             Ok(time) => format!(
                 "{} ({} without a word of the client's, {} at the most)",
                 ms(time.0),
@@ -126,18 +128,20 @@
     line(
         "pool",
         match &route.pools {
-            Pools::One(pool) => name(*pool).to_string(),
-            Pools::Split(split) => {
+            PoolChoice::Single(pool) => name(*pool).to_string(),
+            PoolChoice::Split(split) => {
                 let total: f64 = split.parts().iter().map(|p| p.weight).sum();
-                let shares =
-                    split.parts().iter().map(|p| format!("{} {:.1}%", name(p.to), 100.0 * p.weight / total));
+                let shares = split
+                    .parts()
+                    .iter()
+                    .map(|p| format!("{} {:.1}%", name(p.target), 100.0 * p.weight / total));
                 let shares = shares.collect::<Vec<_>>().join(", ");
                 match key_text.map(|k| split.choose(stable_hash(0, k.as_bytes()))) {
                     Some(Some(to)) => format!("{}, by its key, of {shares}", name(to)),
                     _ => format!("one of {shares}, by its id"),
                 }
             }
-            Pools::Failover(list) => {
+            PoolChoice::Failover(list) => {
                 let names: Vec<&str> = list.iter().map(|&p| name(p)).collect();
                 format!("the first that is well of {}", names.join(", "))
             }
@@ -153,12 +157,12 @@
     format!("{} ms", micros as f64 / 1e3)
 }
 
-fn from(source: &Source) -> String {
+fn from(source: &ValueSource) -> String {
     match source {
-        Source::Value(_) => "the file".into(),
-        Source::Header(name) => format!("header {name}"),
-        Source::Query(name) => format!("query parameter {name}"),
-        Source::Param(at) => format!("path parameter {}", at + 1),
+        ValueSource::Fixed(_) => "the file".into(),
+        ValueSource::Header(name) => format!("header {name}"),
+        ValueSource::Query(name) => format!("query parameter {name}"),
+        ValueSource::Param(at) => format!("path parameter {}", at + 1),
     }
 }
 
@@ -166,7 +170,7 @@
     let host = match &m.host {
         HostPattern::Any => "any host".to_string(),
         HostPattern::Exact(name) => format!("host {name}"),
-        HostPattern::Under(domain) => format!("hosts under {domain}"),
+        HostPattern::Subdomains(domain) => format!("hosts under {domain}"),
     };
     let mut path = String::new();
     for segment in &m.path.segments {
@@ -175,7 +179,7 @@
             Segment::Param(name) => write!(path, "/{{{name}}}"),
         };
     }
-    let kind = if m.path.prefix { "paths that begin with" } else { "path" };
+    let kind = if m.path.is_prefix { "paths that begin with" } else { "path" };
     let mut all = vec![host, format!("{kind} {}", if path.is_empty() { "/" } else { &path })];
     if !m.methods.is_empty() {
         all.push(format!("methods {}", m.methods.join(" ")));
@@ -183,10 +187,10 @@
     for (what, tests) in [("header", &m.headers), ("query parameter", &m.query)] {
         for t in tests {
             all.push(match &t.test {
-                Test::Present => format!("{what} {} present", t.name),
-                Test::Absent => format!("{what} {} absent", t.name),
-                Test::Equals(v) => format!("{what} {} is {v:?}", t.name),
-                Test::StartsWith(v) => format!("{what} {} starts with {v:?}", t.name),
+                ValueTest::Present => format!("{what} {} present", t.name),
+                ValueTest::Absent => format!("{what} {} absent", t.name),
+                ValueTest::Equals(v) => format!("{what} {} is {v:?}", t.name),
+                ValueTest::StartsWith(v) => format!("{what} {} starts with {v:?}", t.name),
             });
         }
     }
