--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -55,7 +55,7 @@
 
     pub(super) fn news(&mut self, form: ListForm, entries: &[ServerEntry]) {
         if let Some(s) = self.subscription.as_mut().filter(|_| form != ListForm::Cached) {
-            s.heard();
+            s.update_received();
         }
         let most = entries.iter().map(|e| e.server.0 as usize + 1).max().unwrap_or(0).max(self.servers.len());
         let unknown = ServerEntry { state: ListedState::Removed, ..Default::default() };
--- a/crates/serve/src/reload.rs
+++ b/crates/serve/src/reload.rs
@@ -191,7 +191,7 @@
             }
         }
         self.budgets.requests.resize(operator.max_requests);
-        self.pins.resize(operator.max_pinned_keys);
+        self.pins.set_capacity(operator.max_pinned_keys);
         self.log_requests = operator.logging.requests;
         let (mut added, mut kept, mut replaced) = (Vec::new(), 0, Vec::new());
         let mut ids = Vec::new();
