--- a/crates/subscription/src/evidence.rs
+++ b/crates/subscription/src/evidence.rs
@@ -1,56 +1,59 @@
-//! What the end of a call, or of a watch, proves of the registry.
+//! Maps the failure of a call, or of a watch, to what it says about the registry.
 //!
-//! The one table that sorts it. Whatever is not named here moves nothing.
+//! This is the only place where failures are sorted. Failures that are not listed here change nothing.
 
-use crate::knowledge::{Doubt, Loss};
+use crate::list_validity::{UnclearFailure, WatchLoss};
 use garnettally_model::CallFailure;
 
-/// What a failure proves of the registry at the time of the call.
+/// What a failed call says about whether the registry could be reached when the call was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
-    /// It could be reached, and what it has to tell has not come.
-    Up,
-    /// Nobody could reach it.
-    Down,
-    /// It may be down, or have too much to do, or this process alone is not heard.
-    Unclear(Doubt),
-    /// Nothing: the failure is of this process.
-    Nothing,
+pub enum Reachability {
+    /// The registry could be reached, but its current list has not been received.
+    Reachable,
+    /// No process could reach the registry.
+    Unreachable,
+    /// The registry may be down or overloaded, or may fail to receive the calls of this process alone.
+    Unclear(UnclearFailure),
+    /// The failure is local to this process and says nothing about the registry.
+    NoEvidence,
 }
 
-/// What a call that failed proves.
-pub fn proof_of_call(failure: CallFailure) -> Proof {
+/// Sorts a failed call.
+pub fn reachability_at_failure(failure: CallFailure) -> Reachability {
     match failure {
-        CallFailure::NoSocket => Proof::Nothing,
-        CallFailure::NoConnection => Proof::Down,
-        CallFailure::Busy => Proof::Unclear(Doubt::TurnedAway),
-        CallFailure::ClosedBeforeAnswer | CallFailure::NoAnswer => Proof::Unclear(Doubt::Unanswered),
-        // Any byte of an answer shows that the registry is there.
+        CallFailure::NoSocket => Reachability::NoEvidence,
+        CallFailure::NoConnection => Reachability::Unreachable,
+        CallFailure::Busy => Reachability::Unclear(UnclearFailure::TurnedAway),
+        CallFailure::ClosedBeforeAnswer | CallFailure::NoAnswer => {
+            Reachability::Unclear(UnclearFailure::Unanswered)
+        }
+        // Any byte of an answer shows that the registry is running.
         CallFailure::OtherStatus
         | CallFailure::IncompleteAnswer
         | CallFailure::Unreadable
         | CallFailure::WatchSilent
         | CallFailure::WatchCut
         | CallFailure::WatchBroken
-        | CallFailure::WatchEnded => Proof::Up,
+        | CallFailure::WatchEnded => Reachability::Reachable,
     }
 }
 
-/// What the end of a watch that was open proves.
-pub fn loss_of_watch(failure: CallFailure) -> Loss {
+/// Sorts the failure that ended an open watch.
+pub fn watch_loss(failure: CallFailure) -> WatchLoss {
     match failure {
         CallFailure::WatchBroken
-        // How a call ends. A host that cannot tell calls and watches apart (the simulator) says so of a watch.
+        // These failures end calls. A host that cannot tell calls and watches apart (the simulator) also
+        // reports them for a watch.
         | CallFailure::NoSocket
         | CallFailure::NoConnection
         | CallFailure::ClosedBeforeAnswer
         | CallFailure::NoAnswer
-        | CallFailure::Busy => Loss::Broken,
-        CallFailure::WatchEnded => Loss::Ended,
+        | CallFailure::Busy => WatchLoss::Broken,
+        CallFailure::WatchEnded => WatchLoss::Ended,
         CallFailure::WatchSilent
         | CallFailure::WatchCut
         | CallFailure::Unreadable
         | CallFailure::IncompleteAnswer
-        | CallFailure::OtherStatus => Loss::Incomplete,
+        | CallFailure::OtherStatus => WatchLoss::Incomplete,
     }
 }
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -1,96 +1,102 @@
-//! When to ask a registry for a watch, where many processes that cannot talk to each other share it, and for how long
-//! the list that a process holds may be used without one.
+//! Decides when a process calls a registry to open a watch, where many processes that cannot communicate with
+//! each other share the registry, and for how long the list that a process has may be used without a watch.
 //!
-//! Such a registry handles calls one after another and fails those that have waited too long, but has spent its time
-//! on them all the same. If more is asked than it can answer in time, it answers nobody (a metastable failure). `pace`
-//! says when a process asks, so that the calls of all fit.
+//! Such a registry handles calls one after another. It fails those that have waited too long, but has by then
+//! spent its time on them. If more calls arrive than it can answer in time, it answers none (a metastable
+//! failure). `pace` decides when a process calls, so that the registry can answer the calls of all processes.
 //!
-//! What a registry has binds a process some seconds later, whether or not it was told. `knowledge` says until when the list
-//! may be used without a watch, and `evidence` is the table of what each failure proves. [`Subscription`] puts them together.
+//! A change in the registry is binding for a process some seconds later, whether or not the process was
+//! notified. `list_validity` says until when the list may be used without a watch, and `evidence` is the
+//! table of what each failure says about the registry. [`Subscription`] puts them together.
 //!
-//! A state machine without I/O and without a clock: the caller tells what happened with the time, and polls. It leaves
-//! the call itself, its time-out and the list to the caller. It never allocates and never panics.
+//! The crate is a state machine without I/O and without a clock: the host reports events with their times,
+//! and polls. The call itself, its time-out and the list are the host's task. The crate never allocates and
+//! never panics.
 #![forbid(unsafe_code)]
 
-mod crowding;
 mod evidence;
-mod knowledge;
+mod list_validity;
+mod overload;
 mod pace;
 
-use crowding::Condition;
-use evidence::{loss_of_watch, proof_of_call, Proof};
+use evidence::{reachability_at_failure, watch_loss, Reachability};
 use garnettally_model::{CallFailure, Micros, Settings};
-use knowledge::{Leases, ListKnowledge};
-use pace::Pace;
+use list_validity::{Leases, ListValidity};
+use overload::RegistryState;
+use pace::CallPace;
 
-/// Where the registry was down before, it still is where a call has been out for so long.
+/// If the registry was down before, it is taken to be still down once a call has been unanswered for this
+/// long.
 const STILL_DOWN_AFTER: Micros = Micros(1_300_000);
 
-/// A registry with few callers answers the first call of a process within this.
+/// A registry with few callers answers the first call of a process within this time.
 const FIRST_ANSWER_WITHIN: Micros = Micros(2_200_000);
 
-/// Whom the registry serves.
+/// Which processes a registry serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registry {
-    /// This process alone: it may be asked at any time.
+    /// The registry serves this process alone, which may call it at any time.
     Exclusive,
-    /// So many instances at the least.
+    /// The registry serves several instances.
     Shared {
-        /// How many of them are known of.
+        /// The number of instances known of; there may be more.
         instances: u32,
     },
 }
 
-/// What a process knows of the list that it holds.
+/// How fresh the list is that a process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFreshness {
-    /// A watch is open: changes come as they are made.
+    /// A watch is open: changes are received as they are made.
     Watched,
-    /// There is no watch, and the list may be used for now.
+    /// No watch is open, and the list may still be used.
     Leased,
-    /// Changes that bind already may be missing.
+    /// The list may lack changes that are already binding.
     Stale,
-    /// It is the one of the configuration, may be of any age, and the registry has not been heard of yet.
+    /// The list comes from the configuration and may be of any age; the registry has not confirmed it yet.
     Unverified,
 }
 
-/// What is known of the list that a process holds, and when it asks next.
+/// The freshness of the list that a process has, and the time of its next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListReport {
-    /// What is known of the list.
+    /// The freshness of the list.
     pub freshness: ListFreshness,
-    /// When a watch is asked for, in microseconds of the caller's clock; `None`: a call is out, or a watch is open.
+    /// When the next call to open a watch is made, in microseconds of the host's clock; `None` while a call
+    /// is in flight or a watch is open.
     pub next_call_at: Option<Micros>,
-    /// The first call of this process has had its time.
+    /// Whether the first call of this process has ended, or has been in flight for longer than an answer
+    /// normally takes.
     pub is_started: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No watch; it is asked for at this time.
+    /// There is no watch; the call to open one is made at this time.
     Waiting { until: Micros },
-    /// It was asked for at this time, and no list has come yet.
-    Asked { at: Micros, is_answering: bool },
+    /// The call to open a watch was made at `asked`, and no list has come yet. `is_answering` is set once the
+    /// head of the answer has been received.
+    Calling { asked: Micros, is_answering: bool },
     /// A watch is open.
     Open,
 }
 
-/// One process's watch on a registry: whether it is open, and when to ask for it.
+/// One process's watch on a registry: whether the watch is open, and when to call for one.
 #[derive(Debug)]
 pub struct Subscription {
-    pace: Pace,
+    pace: CallPace,
     state: State,
-    /// For how long a list is as good as a watch; `None`: for as long as the registry is asked.
+    /// For how long a list may be used without a watch; `None` means without limit.
     list_lease: Option<Micros>,
-    /// What is known of the list held, where no watch is open.
-    knowledge: ListKnowledge,
-    /// No call has ended yet.
+    /// How long the list may be used while no watch is open.
+    validity: ListValidity,
+    /// Whether no call has ended yet.
     is_starting: bool,
 }
 
 impl Subscription {
-    /// What an instance with these settings needs: nothing, where discovery need not be asked. Where it may be asked
-    /// without a pause, it is the instance's own.
+    /// The subscription that an instance with these settings needs: `None` where discovery need not be
+    /// called. A registry that may be called without a pause is taken to serve this instance alone.
     pub fn from_settings(settings: &Settings, seed: u64, now: Micros) -> Option<Subscription> {
         let registry = match settings.ask_within {
             Micros(0) => Registry::Exclusive,
@@ -100,59 +106,58 @@
         settings.must_ask.then(new)
     }
 
-    /// A process that starts now, with random numbers from this seed; its list never grows stale.
+    /// A process that starts now. `seed` seeds its random numbers. Its list never becomes stale unless
+    /// [`Subscription::with_list_lease`] sets a lease.
     pub fn new(registry: Registry, seed: u64, now: Micros) -> Subscription {
-        let mut pace = Pace::new(registry, seed);
-        let until = pace.first_call(now);
+        let mut pace = CallPace::new(registry, seed);
+        let until = pace.first_call_at(now);
         Subscription {
             pace,
             state: State::Waiting { until },
             list_lease: None,
-            knowledge: ListKnowledge::at_start(),
+            validity: ListValidity::at_start(),
             is_starting: true,
         }
     }
 
-    /// Without a watch, a list may be gone by for so long after the registry could have been asked.
+    /// Sets for how long a list may be used without a watch, counted from the last evidence
+    /// that it was current.
     pub fn with_list_lease(self, list_lease: Option<Micros>) -> Subscription {
         Subscription { list_lease, ..self }
     }
 
-    /// Goes on from where another one is, which asked for the same watch until now; the size of the fleet and the lease stay
-    /// its own.
+    /// Takes over the state of another subscription, which maintained the same watch until now. The size of
+    /// the fleet and the lease remain those of `self`.
     pub fn continue_from(&mut self, before: &Subscription) {
         self.pace.continue_from(&before.pace);
         self.state = before.state;
-        self.knowledge = before.knowledge;
+        self.validity = before.validity;
         self.is_starting = before.is_starting;
     }
 
-    /// The number of instances has changed; it holds from the next pause on.
+    /// Sets the number of instances; the new number applies from the next pause on.
     pub fn set_instances(&mut self, count: u32) {
         self.pace.set_instances(count);
     }
 
-    /// Whether a watch is open, as far as is known.
+    /// Whether a watch is open, as far as this process knows.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// Whether the list held may lack changes that bind already: there is no watch, and its lease has ended.
+    /// Whether the list may lack changes that are already binding: no watch is open, and the lease of the
+    /// list has ended.
     pub fn is_stale(&self, now: Micros) -> bool {
         let is_bounded = self.list_lease.is_some();
-        is_bounded && !self.is_open() && !self.knowledge.is_good(now) && !self.is_still_down(now)
+        is_bounded && !self.is_open() && !self.validity.is_usable(now) && !self.is_still_down(now)
     }
 
     fn leases(&self) -> Leases {
-        let whole = self.list_lease.unwrap_or(Micros(0));
-        Leases {
-            whole,
-            after_loss: self.pace.answered_after_loss().min(whole),
-            is_strict: self.pace.is_small(),
-        }
+        let full = self.list_lease.unwrap_or(Micros(0));
+        Leases { full, after_loss: self.pace.lease_after_loss().min(full), is_strict: self.pace.is_small() }
     }
 
-    /// What is known of the list held, and when the next call is made.
+    /// The freshness of the list, and the time of the next call.
     pub fn list_report(&self, now: Micros) -> ListReport {
         ListReport {
             freshness: self.list_freshness(now),
@@ -161,84 +166,86 @@
         }
     }
 
-    /// What is known of the list held.
     fn list_freshness(&self, now: Micros) -> ListFreshness {
         match (self.is_open(), self.is_stale(now)) {
             (true, _) => ListFreshness::Watched,
             (false, false) => ListFreshness::Leased,
-            (false, true) if self.knowledge.is_unverified() => ListFreshness::Unverified,
+            (false, true) if self.validity.is_unverified() => ListFreshness::Unverified,
             (false, true) => ListFreshness::Stale,
         }
     }
 
-    /// Whether a call is out for so long, with nothing of an answer, that the registry is taken to be out of reach.
+    /// Whether a call has been in flight for so long, without any part of an answer, that the registry is
+    /// taken to be unreachable.
     fn is_still_down(&self, now: Micros) -> bool {
-        let State::Asked { at, is_answering: false } = self.state else { return false };
-        self.knowledge.seems_down(at, self.leases()) && now - at >= STILL_DOWN_AFTER
+        let State::Calling { asked, is_answering: false } = self.state else { return false };
+        self.validity.is_registry_presumed_down(asked, self.leases()) && now - asked >= STILL_DOWN_AFTER
     }
 
-    /// Whether the first call of this process has been answered or has failed, or is out for longer than an answer takes: there
-    /// is nothing that it could soon be told before it takes requests.
+    /// Whether the first call of this process has been answered or has failed, or has been in flight for
+    /// longer than an answer normally takes. Waiting longer before taking requests would not bring a list
+    /// soon.
     pub fn is_started(&self, now: Micros) -> bool {
         match self.state {
-            State::Asked { at, .. } if self.is_starting => now - at >= FIRST_ANSWER_WITHIN,
+            State::Calling { asked, .. } if self.is_starting => now - asked >= FIRST_ANSWER_WITHIN,
             _ => !self.is_starting,
         }
     }
 
-    /// The head of an answer to the call has come: the registry can be reached.
+    /// Reports that the head of an answer to the call was received: the registry can be reached.
     pub fn answer_started(&mut self) {
-        if let State::Asked { is_answering, .. } = &mut self.state {
+        if let State::Calling { is_answering, .. } = &mut self.state {
             *is_answering = true;
-            self.knowledge.was_reachable();
+            self.validity.registry_was_reachable();
         }
     }
 
-    /// A list or a change has come on a watch, whoever opened it.
+    /// Reports that a list or a change was received on a watch, even one that this subscription did not ask
+    /// for.
     pub fn update_received(&mut self) {
         if self.is_open() {
             return;
         }
         self.state = State::Open;
         self.is_starting = false;
-        self.pace.succeeded();
+        self.pace.record_success();
     }
 
-    /// The call has failed, or the watch has ended, on which up to `since` all changes have come. Returns whether a
-    /// watch was open until now.
+    /// Reports that the call has failed, or that the watch has ended after all changes up to `since` were
+    /// received. Returns whether a watch was open until now.
     pub fn call_or_watch_failed(&mut self, now: Micros, since: Micros, failure: CallFailure) -> bool {
         let was_open = self.is_open();
         match self.state {
             State::Waiting { .. } => {}
-            State::Asked { at, .. } => {
-                self.call_failed(at, now, failure);
+            State::Calling { asked, .. } => {
+                self.call_failed(asked, now, failure);
                 self.is_starting = false;
             }
-            State::Open => self.lost(now, since, failure),
+            State::Open => self.watch_lost(now, since, failure),
         }
         was_open
     }
 
-    /// The registry is at another address from now on. How the watch on the old one ended was told before; a call that was
-    /// out is no more, and tells nothing.
+    /// Reports that the registry has a new address. The end of the watch on the old address was reported
+    /// before; a call in flight to it is dropped and says nothing about the registry.
     pub fn registry_moved(&mut self, now: Micros) {
         if self.is_open() {
-            self.lost(now, now, CallFailure::WatchBroken);
+            self.watch_lost(now, now, CallFailure::WatchBroken);
         }
         let until = self.pace.call_after_move(now, self.next_timeout());
         self.state = State::Waiting { until };
     }
 
-    /// Whether the watch is to be asked for now; the caller then does so, and tells what comes of it.
+    /// Whether a call to open a watch is due. If so, the host makes the call and reports how it ends.
     pub fn poll(&mut self, now: Micros) -> bool {
-        let due = self.next_timeout().is_some_and(|until| until <= now);
-        if due {
-            self.state = State::Asked { at: now, is_answering: false };
+        let is_due = self.next_timeout().is_some_and(|until| until <= now);
+        if is_due {
+            self.state = State::Calling { asked: now, is_answering: false };
         }
-        due
+        is_due
     }
 
-    /// When [`Subscription::poll`] has something to do without being told anything.
+    /// When [`Subscription::poll`] must be called next if no event is reported before.
     pub fn next_timeout(&self) -> Option<Micros> {
         match self.state {
             State::Waiting { until } => Some(until),
@@ -246,33 +253,33 @@
         }
     }
 
-    /// An open watch is lost, on which all changes have come up to `since`.
-    fn lost(&mut self, now: Micros, since: Micros, failure: CallFailure) {
-        self.knowledge = ListKnowledge::lost(now, since, loss_of_watch(failure), self.leases());
+    /// Ends an open watch on which all changes up to `since` were received.
+    fn watch_lost(&mut self, now: Micros, since: Micros, failure: CallFailure) {
+        self.validity = ListValidity::after_watch_loss(now, since, watch_loss(failure), self.leases());
         self.state = State::Waiting { until: self.pace.call_after_loss(now) };
     }
 
     fn call_failed(&mut self, asked: Micros, now: Micros, failure: CallFailure) {
         let (leases, is_starting) = (self.leases(), self.is_starting);
-        let until = match proof_of_call(failure) {
-            Proof::Unclear(doubt) => {
-                match self.pace.refused(asked, now) {
-                    Condition::Overloaded => self.knowledge.was_reachable(),
-                    Condition::Down | Condition::Unclear => {
-                        self.knowledge.may_have_been_out_of_reach(asked, doubt, leases);
+        let until = match reachability_at_failure(failure) {
+            Reachability::Unclear(kind) => {
+                match self.pace.record_refusal(asked, now) {
+                    RegistryState::Overloaded => self.validity.registry_was_reachable(),
+                    RegistryState::Down | RegistryState::Unclear => {
+                        self.validity.registry_may_have_been_unreachable(asked, kind, leases);
                     }
                 }
                 self.pace.call_after_refusal(asked, now, is_starting)
             }
-            Proof::Down => {
-                self.knowledge.was_out_of_reach(asked, leases);
+            Reachability::Unreachable => {
+                self.validity.registry_was_unreachable(asked, leases);
                 self.pace.call_after_failure(asked, now, is_starting)
             }
-            Proof::Up => {
-                self.knowledge.was_reachable();
+            Reachability::Reachable => {
+                self.validity.registry_was_reachable();
                 self.pace.call_after_failure(asked, now, is_starting)
             }
-            Proof::Nothing => self.pace.call_without_socket(now),
+            Reachability::NoEvidence => self.pace.call_without_socket(now),
         };
         self.state = State::Waiting { until };
     }
--- a/crates/subscription/src/pace.rs
+++ b/crates/subscription/src/pace.rs
@@ -1,108 +1,123 @@
-//! When to ask: the pauses between the calls of one process, where many that cannot talk to each other share a registry.
+//! The pauses between the calls of one process, where many processes that cannot communicate share a
+//! registry.
 //!
-//! All pauses follow from the time that the calls of the whole fleet take. A process asks once in a cycle, at a phase of its
-//! own: spread over a cycle, the calls of all fit. Only overload lengthens the cycle, which refusals tell apart from an
-//! outage; each success halves what it has grown by.
+//! All pauses follow from the time that the calls of the whole fleet take. A process calls once per cycle, at
+//! a random phase: spread over a cycle, the calls of all processes fit. Only overload lengthens the cycle,
+//! and refusals tell overload apart from an outage. Each success halves the growth of the cycle.
 
-use crate::crowding::{Condition, RefusalHistory};
+use crate::overload::{RefusalHistory, RegistryState};
 use crate::Registry;
 use garnettally_model::Micros;
 
-/// One call of each instance takes this part of a cycle: 45 calls a second are assumed until failures tell otherwise.
-const CALL: Micros = Micros(22_000);
+/// Time in a cycle that the call of one instance takes: 45 calls per second are assumed until failures show
+/// otherwise.
+const CALL_TIME: Micros = Micros(22_000);
 
-/// The shortest cycle of a small fleet: all of it can ask twice in this, and its registry has room for others.
-const CYCLE_OF_SMALL_FLEET: Micros = Micros(1_000_000);
+/// The shortest cycle of a small fleet: all its members can call twice in this time, and the registry has
+/// capacity left for others.
+const MIN_CYCLE_SMALL_FLEET: Micros = Micros(1_000_000);
 
-/// The shortest cycle of any other: settings tell the size of one tier, and others ask as well. What a registry tells is
-/// binding 6 s after it could be asked, and a call may have waited 2 s for its answer: whoever asks within 4 s of the return
-/// is answered in time.
-const CYCLE_IN_TIME: Micros = Micros(4_000_000);
+/// The shortest cycle of any other fleet: settings give the size of one tier, but other tiers call as well. A
+/// change is binding 6 s after the registry could first be called, and a call may wait 2 s for its answer: a
+/// process that calls within 4 s of the registry's return is answered in time.
+const MIN_CYCLE: Micros = Micros(4_000_000);
 
-/// A watch that is lost, and the first one, are asked for within this and the calls of all instances. A fleet whose calls take
-/// no longer is small (18 instances): its loss of a watch is over within a second or so.
+/// The first call, and the call after a lost watch, are spread over this time plus the time that the calls
+/// of all instances take. A fleet whose calls take no longer than this is small (18 instances) and replaces a lost watch
+/// within about a second.
 const FIRST_SPREAD: Micros = Micros(400_000);
 
-/// Calls may wait for their answers: so much sooner all are made than they are answered.
-const QUEUEING: Micros = Micros(1_000_000);
+/// Calls may wait this long for their answers, so the last call can be made this much earlier than it must be
+/// answered.
+const ANSWER_DELAY: Micros = Micros(1_000_000);
 
-/// The first call of a process comes within this at the most, however large its fleet: until its answer the process has no
-/// list that it may use.
-const START_SPREAD_MOST: Micros = Micros(5_600_000);
+/// Upper bound for the delay of the first call of a process, whatever the size of its fleet: until the call
+/// is answered the process has no list that it may use.
+const MAX_START_SPREAD: Micros = Micros(5_600_000);
 
-/// If the calls of all take no longer, all can be answered before what they ask for binds.
-const ALL_IN_TIME: Micros = Micros(6_600_000);
+/// If the calls of the whole fleet take no longer than this, all can be answered before the changes they ask
+/// for become binding.
+const MAX_TIMELY_CALLS: Micros = Micros(6_600_000);
 
-/// After the loss of a watch the answer is there within the spread of the calls and this, or within the shortest lease.
-const ANSWERED_WITHIN: Micros = Micros(1_000_000);
-const LEASE_AFTER_LOSS_LEAST: Micros = Micros(2_000_000);
+/// After the loss of a watch the answer is expected within the spread of the calls plus `ANSWER_TIME`, or
+/// within `MIN_LEASE_AFTER_LOSS` if that is longer.
+const ANSWER_TIME: Micros = Micros(1_000_000);
+const MIN_LEASE_AFTER_LOSS: Micros = Micros(2_000_000);
 
-/// So many calls that reached no registry are repeated after a short pause, which doubles; then it is taken to be down. In a
-/// fleet whose calls fill `CYCLE_IN_TIME` none is: the repeats of all would meet at the registry's return.
-const REPEATS_MOST: u32 = 2;
+/// This number of calls that reached no registry are repeated after a short pause, which doubles; then the
+/// registry is taken to be down. In a fleet whose calls exceed `MIN_CYCLE` none is repeated early: the
+/// repeats of all processes would coincide when the registry returns.
+const MAX_EARLY_REPEATS: u32 = 2;
 
 /// The shortest pause after a failure.
-const PAUSE_LEAST: Micros = Micros(100_000);
+const MIN_PAUSE: Micros = Micros(100_000);
 
-/// The longest pause after a call that failed for want of a socket: it cost the registry nothing.
-const PAUSE_WITHOUT_SOCKET_MOST: Micros = Micros(1_000_000);
+/// The longest pause after a call that failed because the process had no socket: such a call costs the
+/// registry nothing.
+const MAX_PAUSE_WITHOUT_SOCKET: Micros = Micros(1_000_000);
 
-/// A cycle is shorter by up to this part, so that processes which met once part again,
+/// A cycle is shortened by a random part of up to this fraction, so that processes which called at the same
+/// time drift apart.
 const JITTER: f64 = 0.1;
 
-/// and the first after a loss by up to this, where the calls of all take less: they were all made in one moment.
+/// The first cycle after a loss is shortened by up to this fraction if the calls of the fleet take less:
+/// these calls were all made at the same moment.
 const JITTER_AFTER_LOSS: f64 = 0.5;
 
-/// In a fleet that cannot be answered in time, first calls come closer together than they are answered. Where one fails, the
-/// next comes between these parts of a cycle later, so that the calls of all spread over one.
-const CYCLES_AFTER_START: std::ops::Range<f64> = 0.6..1.4;
+/// In a fleet that cannot be answered in time, first calls are made faster than they can be answered. After a
+/// failed first call the next one follows after a random number of cycles in this range, so that the calls of
+/// all processes spread over one cycle.
+const CYCLES_AFTER_FAILED_START: std::ops::Range<f64> = 0.6..1.4;
 
-/// Growth of the cycle by each refusal of an overloaded registry, and what a refusal of one that is down leaves of it.
-const GROWTH: f64 = 2.0;
-const SHRINKAGE: f64 = 0.8;
+/// Each refusal by an overloaded registry multiplies the cycle by `OVERLOAD_FACTOR`; each refusal by a
+/// registry that is down multiplies it by `DOWN_FACTOR`.
+const OVERLOAD_FACTOR: f64 = 2.0;
+const DOWN_FACTOR: f64 = 0.8;
 
-/// The longest cycle, in first cycles. That of a small fleet, which crowds nothing by itself, is `CYCLE_IN_TIME`.
-const STRETCH_MOST: f64 = 8.0;
+/// The longest cycle, as a multiple of the base cycle. In a small fleet, which cannot overload the registry
+/// by itself, the longest cycle is `MIN_CYCLE`.
+const MAX_STRETCH: f64 = 8.0;
 
-/// What a success leaves of the growth.
-const STRETCH_KEPT: f64 = 0.5;
+/// Each success multiplies the stretch of the cycle by this factor.
+const SUCCESS_FACTOR: f64 = 0.5;
 
-/// Refusals are remembered for so many cycles.
-const CYCLES_REMEMBERED: i64 = 5;
+/// Refusals are remembered for this number of cycles.
+const REFUSAL_MEMORY_CYCLES: i64 = 5;
 
-/// When one process asks.
+/// Decides when one process calls the registry.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct CallPace {
     registry: Registry,
     random: fastrand::Rng,
-    /// Length of a cycle, in first cycles; 1 or more.
+    /// Length of a cycle as a multiple of the base cycle; at least 1.
     stretch: f64,
-    /// Calls since the last success that were repeated after a short pause.
-    repeats: u32,
+    /// Number of calls since the last success that were repeated after a short pause.
+    early_repeats: u32,
     refusals: RefusalHistory,
-    /// The next cycle is the first after a loss.
-    is_first: bool,
-    /// When a watch was first asked for in vain, or is to be, since the last one.
-    without_since: Option<Micros>,
+    /// Whether the next cycle is the first one after a loss.
+    is_first_cycle: bool,
+    /// When the process lost its last watch or first planned a call for one; `None` after a success.
+    without_watch_since: Option<Micros>,
 }
 
-impl Pace {
-    pub fn new(registry: Registry, seed: u64) -> Pace {
-        Pace {
+impl CallPace {
+    pub fn new(registry: Registry, seed: u64) -> CallPace {
+        CallPace {
             registry,
             random: fastrand::Rng::with_seed(seed),
             stretch: 1.0,
-            repeats: 0,
+            early_repeats: 0,
             refusals: RefusalHistory::default(),
-            is_first: true,
-            without_since: None,
+            is_first_cycle: true,
+            without_watch_since: None,
         }
     }
 
-    /// Goes on from where another one is; the size of the fleet and the random numbers stay its own.
-    pub fn continue_from(&mut self, before: &Pace) {
+    /// Takes over the state of another pace; the size of the fleet and the random numbers remain those of
+    /// `self`.
+    pub fn continue_from(&mut self, before: &CallPace) {
         let (registry, random) = (self.registry, self.random.clone());
-        *self = Pace { registry, random, ..before.clone() };
+        *self = CallPace { registry, random, ..before.clone() };
     }
 
     pub fn set_instances(&mut self, count: u32) {
@@ -111,154 +126,160 @@
         }
     }
 
-    /// Whether the fleet is so small that it cannot crowd its registry, and each process asks often.
+    /// Whether the fleet is so small that it cannot overload its registry, so that each process calls often.
     pub fn is_small(&self) -> bool {
-        self.registry != Registry::Exclusive && self.calls_of_all() <= FIRST_SPREAD
+        self.registry != Registry::Exclusive && self.fleet_call_time() <= FIRST_SPREAD
     }
 
-    /// How long after the loss of a watch the next answer comes, as a rule.
-    pub fn answered_after_loss(&self) -> Micros {
-        LEASE_AFTER_LOSS_LEAST.max(self.spread_after_loss() + ANSWERED_WITHIN)
+    /// Time after the loss of a watch within which the next answer normally comes.
+    pub fn lease_after_loss(&self) -> Micros {
+        MIN_LEASE_AFTER_LOSS.max(self.spread_after_loss() + ANSWER_TIME)
     }
 
-    /// When the first call of a process that starts now is made.
-    pub fn first_call(&mut self, now: Micros) -> Micros {
+    /// The time of the first call of a process that starts now.
+    pub fn first_call_at(&mut self, now: Micros) -> Micros {
         let spread = match self.registry {
             Registry::Exclusive => Micros(0),
-            Registry::Shared { .. } => START_SPREAD_MOST.min(FIRST_SPREAD + self.calls_of_all()),
+            Registry::Shared { .. } => MAX_START_SPREAD.min(FIRST_SPREAD + self.fleet_call_time()),
         };
-        now + self.within(spread)
+        now + self.random_up_to(spread)
     }
 
-    /// When a watch that is lost now is asked for: others may have lost theirs in this moment, too.
+    /// The time of the call that follows a watch lost now. Other processes may have lost theirs at the same
+    /// moment.
     pub fn call_after_loss(&mut self, now: Micros) -> Micros {
-        self.is_first = true;
-        self.without_since = Some(now);
-        now + self.within(self.spread_after_loss())
+        self.is_first_cycle = true;
+        self.without_watch_since = Some(now);
+        now + self.random_up_to(self.spread_after_loss())
     }
 
-    /// When a registry that has moved is asked, where it was to be asked at this time (`None`: a call is out). A series of
-    /// moves puts the call off no further than the spread of the first.
+    /// The time of the call after the registry's address has changed. `planned` is the time of the next call
+    /// until now, `None` if a call was in flight. A series of address changes delays the call no further than
+    /// the spread of the first one.
     pub fn call_after_move(&mut self, now: Micros, planned: Option<Micros>) -> Micros {
-        let since = *self.without_since.get_or_insert(now);
-        let latest = (since + self.spread_after_loss()).max(now + self.within(FIRST_SPREAD));
-        let drawn = now + self.within(self.spread_after_loss());
+        let since = *self.without_watch_since.get_or_insert(now);
+        let latest = (since + self.spread_after_loss()).max(now + self.random_up_to(FIRST_SPREAD));
+        let drawn = now + self.random_up_to(self.spread_after_loss());
         drawn.min(latest).min(planned.unwrap_or(drawn))
     }
 
-    /// A watch is open.
-    pub fn succeeded(&mut self) {
-        self.repeats = 0;
+    /// Records that a watch is open.
+    pub fn record_success(&mut self) {
+        self.early_repeats = 0;
         self.refusals.clear();
-        self.without_since = None;
-        self.stretch = (self.stretch * STRETCH_KEPT).max(1.0);
+        self.without_watch_since = None;
+        self.stretch = (self.stretch * SUCCESS_FACTOR).max(1.0);
     }
 
-    /// Notes a call that left open whether the registry is down, and what that tells with those before.
-    pub fn refused(&mut self, asked: Micros, now: Micros) -> Condition {
-        let remembered = Micros(self.cycle().0.saturating_mul(CYCLES_REMEMBERED));
-        let condition = self.refusals.add(asked, now, remembered);
-        match condition {
-            Condition::Overloaded => self.stretch *= GROWTH,
-            Condition::Down => self.stretch = (self.stretch * SHRINKAGE).max(1.0),
-            Condition::Unclear => {}
+    /// Records a call that left open whether the registry is down. Returns what it says about the registry,
+    /// together with the refusals before it.
+    pub fn record_refusal(&mut self, asked: Micros, now: Micros) -> RegistryState {
+        let refusal_memory = Micros(self.cycle().0.saturating_mul(REFUSAL_MEMORY_CYCLES));
+        let registry_state = self.refusals.add(asked, now, refusal_memory);
+        match registry_state {
+            RegistryState::Overloaded => self.stretch *= OVERLOAD_FACTOR,
+            RegistryState::Down => self.stretch = (self.stretch * DOWN_FACTOR).max(1.0),
+            RegistryState::Unclear => {}
         }
-        let most = match self.is_small() {
-            true => CYCLE_IN_TIME.0 as f64 / CYCLE_OF_SMALL_FLEET.0 as f64,
-            false => STRETCH_MOST,
+        let max_stretch = match self.is_small() {
+            true => MIN_CYCLE.0 as f64 / MIN_CYCLE_SMALL_FLEET.0 as f64,
+            false => MAX_STRETCH,
         };
-        self.stretch = self.stretch.min(most);
-        condition
+        self.stretch = self.stretch.min(max_stretch);
+        registry_state
     }
 
-    /// When the next call is made after one that was refused: one cycle after it.
+    /// The time of the next call after a refused one: one cycle later.
     pub fn call_after_refusal(&mut self, asked: Micros, now: Micros, is_starting: bool) -> Micros {
-        let least = now + self.jittered_pause();
+        let earliest = now + self.jittered_pause();
         let next = match self.registry {
             Registry::Exclusive => now,
             Registry::Shared { .. } => asked + self.jittered_cycle(is_starting),
         };
-        next.max(least)
+        next.max(earliest)
     }
 
-    /// When the next call is made after one that met nobody, or did not bring a list: by chance, or for longer.
+    /// The time of the next call after one that reached no registry, or brought no list. The first such
+    /// failures may be due to chance and are repeated early; later ones wait for a cycle.
     pub fn call_after_failure(&mut self, asked: Micros, now: Micros, is_starting: bool) -> Micros {
         self.refusals.clear();
-        if self.repeats < REPEATS_MOST && self.calls_of_all() <= CYCLE_IN_TIME {
+        if self.early_repeats < MAX_EARLY_REPEATS && self.fleet_call_time() <= MIN_CYCLE {
             return now + self.doubling_pause();
         }
         self.stretch = 1.0;
         self.call_after_refusal(asked, now, is_starting)
     }
 
-    /// When the next call is made after one for which there was no socket.
+    /// The time of the next call after one for which the process had no socket.
     pub fn call_without_socket(&mut self, now: Micros) -> Micros {
-        now + self.doubling_pause().min(PAUSE_WITHOUT_SOCKET_MOST)
+        now + self.doubling_pause().min(MAX_PAUSE_WITHOUT_SOCKET)
     }
 
-    /// Time that the calls of all instances take.
-    fn calls_of_all(&self) -> Micros {
+    /// The time that the calls of all instances take.
+    fn fleet_call_time(&self) -> Micros {
         match self.registry {
             Registry::Exclusive => Micros(0),
-            Registry::Shared { instances } => Micros(CALL.0 * i64::from(instances)),
+            Registry::Shared { instances } => Micros(CALL_TIME.0 * i64::from(instances)),
         }
     }
 
-    /// The time within which all make their calls: a little less than these take, where that has all answered in time.
-    fn asking_time(&self) -> Micros {
-        let calls = self.calls_of_all();
-        match calls <= ALL_IN_TIME {
-            true => calls - QUEUEING.min(calls),
-            false => calls,
+    /// The time over which all processes spread their calls: slightly less than the calls take, if all can
+    /// then be answered in time.
+    fn fleet_asking_time(&self) -> Micros {
+        let call_time = self.fleet_call_time();
+        match call_time <= MAX_TIMELY_CALLS {
+            true => call_time - ANSWER_DELAY.min(call_time),
+            false => call_time,
         }
     }
 
     fn spread_after_loss(&self) -> Micros {
         match self.registry {
             Registry::Exclusive => Micros(0),
-            Registry::Shared { .. } => FIRST_SPREAD.max(self.asking_time()),
+            Registry::Shared { .. } => FIRST_SPREAD.max(self.fleet_asking_time()),
         }
     }
 
-    /// A phase of its own: many processes may be in the same place at one moment.
-    fn within(&mut self, most: Micros) -> Micros {
+    /// A random time from 0 to `most`. It gives each process its own phase: many may be in the same state at
+    /// the same moment.
+    fn random_up_to(&mut self, most: Micros) -> Micros {
         Micros(self.random.i64(0..=most.0.max(0)))
     }
 
-    /// A short pause, which doubles.
+    /// A short pause, which doubles with each call.
     fn doubling_pause(&mut self) -> Micros {
-        const DOUBLINGS_MOST: u32 = 8;
-        self.repeats = (self.repeats + 1).min(DOUBLINGS_MOST);
-        Micros(self.jittered_pause().0 << self.repeats)
+        const MAX_DOUBLINGS: u32 = 8;
+        self.early_repeats = (self.early_repeats + 1).min(MAX_DOUBLINGS);
+        Micros(self.jittered_pause().0 << self.early_repeats)
     }
 
     fn jittered_pause(&mut self) -> Micros {
-        PAUSE_LEAST + self.within(PAUSE_LEAST)
+        MIN_PAUSE + self.random_up_to(MIN_PAUSE)
     }
 
-    fn first_cycle(&self) -> Micros {
+    fn base_cycle(&self) -> Micros {
         match self.is_small() {
-            true => CYCLE_OF_SMALL_FLEET,
-            false => CYCLE_IN_TIME.max(self.asking_time()),
+            true => MIN_CYCLE_SMALL_FLEET,
+            false => MIN_CYCLE.max(self.fleet_asking_time()),
         }
     }
 
     /// The longest cycle at the present stretch.
     fn cycle(&self) -> Micros {
-        Micros((self.first_cycle().0 as f64 * self.stretch) as i64)
+        Micros((self.base_cycle().0 as f64 * self.stretch) as i64)
     }
 
     fn jittered_cycle(&mut self, is_starting: bool) -> Micros {
-        let is_first = std::mem::take(&mut self.is_first);
+        let is_first_cycle = std::mem::take(&mut self.is_first_cycle);
         let cycle = self.cycle().0 as f64;
-        if is_starting && self.calls_of_all() > ALL_IN_TIME {
-            let parts = CYCLES_AFTER_START;
-            let part = parts.start + (parts.end - parts.start) * self.random.f64();
-            return Micros((cycle * part) as i64);
+        if is_starting && self.fleet_call_time() > MAX_TIMELY_CALLS {
+            let range = CYCLES_AFTER_FAILED_START;
+            let cycles = range.start + (range.end - range.start) * self.random.f64();
+            return Micros((cycle * cycles) as i64);
         }
         let room = cycle * JITTER_AFTER_LOSS;
-        let fits = self.calls_of_all().0 as f64 <= room;
-        let jitter = if is_first && fits { JITTER_AFTER_LOSS } else { JITTER };
+        let leaves_time = self.fleet_call_time().0 as f64 <= room;
+        let jitter = if is_first_cycle && leaves_time { JITTER_AFTER_LOSS } else { JITTER };
         Micros((cycle * (1.0 - jitter * self.random.f64())) as i64)
     }
 }
--- a/crates/subscription/tests/evidence.rs
+++ b/crates/subscription/tests/evidence.rs
@@ -1,4 +1,5 @@
-//! What each kind of failure proves, and what follows for the list: the table of docs/design/discovery.md.
+//! Tests of what each kind of failure says about the registry, and what follows for the list: the table of
+//! docs/design/discovery.md.
 
 use garnettally_model::{CallFailure, Micros};
 use garnettally_subscription::{ListFreshness, Registry, Subscription};
@@ -6,10 +7,10 @@
 const SECOND: i64 = 1_000_000;
 const LEASE: Micros = Micros(6 * SECOND);
 
-/// The loss of a watch is good for so long in a small fleet.
+/// For how long the list may be used after the loss of a watch in a small fleet.
 const AFTER_LOSS: Micros = Micros(2 * SECOND);
 
-/// A small fleet, and one that may crowd its registry.
+/// The sizes of a small fleet, and of one that may overload its registry.
 const SMALL: u32 = 10;
 const LARGE: u32 = 100;
 
@@ -21,55 +22,56 @@
     starting_in(SMALL)
 }
 
-/// Lets time pass until the watch is asked for.
-fn next_ask(subscription: &mut Subscription) -> Micros {
-    let at = subscription.next_timeout().expect("it waits");
+/// Advances to the time of the next call, and makes the call.
+fn make_next_call(subscription: &mut Subscription) -> Micros {
+    let at = subscription.next_timeout().expect("a call is planned");
     assert!(subscription.poll(at));
     at
 }
 
-/// One whose watch, on which all has come up to the time that is returned, ended like this one second later.
-fn lost(how: CallFailure) -> (Subscription, Micros) {
-    lost_in(SMALL, how)
+/// A subscription whose watch received all changes up to the returned time, and ended with this failure one
+/// second later.
+fn with_lost_watch(failure: CallFailure) -> (Subscription, Micros) {
+    with_lost_watch_in(SMALL, failure)
 }
 
-fn lost_in(instances: u32, how: CallFailure) -> (Subscription, Micros) {
+fn with_lost_watch_in(instances: u32, failure: CallFailure) -> (Subscription, Micros) {
     let mut subscription = starting_in(instances);
-    next_ask(&mut subscription);
+    make_next_call(&mut subscription);
     subscription.update_received();
     let complete = Micros(100 * SECOND);
-    subscription.call_or_watch_failed(complete + Micros(SECOND), complete, how);
+    subscription.call_or_watch_failed(complete + Micros(SECOND), complete, failure);
     (subscription, complete)
 }
 
-fn standing(subscription: &Subscription, at: Micros) -> ListFreshness {
+fn freshness(subscription: &Subscription, at: Micros) -> ListFreshness {
     subscription.list_report(at).freshness
 }
 
-const UP: [CallFailure; 3] =
+const REACHABLE: [CallFailure; 3] =
     [CallFailure::IncompleteAnswer, CallFailure::Unreadable, CallFailure::OtherStatus];
-const DOWN: [CallFailure; 1] = [CallFailure::NoConnection];
+const UNREACHABLE: [CallFailure; 1] = [CallFailure::NoConnection];
 const UNCLEAR: [CallFailure; 3] = [CallFailure::Busy, CallFailure::ClosedBeforeAnswer, CallFailure::NoAnswer];
 
-/// A call that fails so two seconds after it was made; when it was made.
+/// Lets the next call fail two seconds after it was made. Returns the time when it was made.
 fn fail_call(subscription: &mut Subscription, failure: CallFailure) -> Micros {
-    let asked = next_ask(subscription);
+    let asked = make_next_call(subscription);
     subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, failure);
     asked
 }
 
 #[test]
-fn the_list_of_the_start_is_used_only_once_nobody_can_reach_the_registry() {
+fn the_initial_list_is_used_only_once_the_registry_is_unreachable() {
     let after = |failure| {
         let mut subscription = starting();
-        assert_eq!(standing(&subscription, Micros(0)), ListFreshness::Unverified);
+        assert_eq!(freshness(&subscription, Micros(0)), ListFreshness::Unverified);
         let asked = fail_call(&mut subscription, failure);
-        standing(&subscription, asked + Micros(2 * SECOND))
+        freshness(&subscription, asked + Micros(2 * SECOND))
     };
-    for failure in DOWN {
+    for failure in UNREACHABLE {
         assert_eq!(after(failure), ListFreshness::Leased, "{failure:?}");
     }
-    for failure in UP {
+    for failure in REACHABLE {
         assert_eq!(after(failure), ListFreshness::Stale, "{failure:?}");
     }
     for failure in UNCLEAR {
@@ -78,14 +80,14 @@
     assert_eq!(after(CallFailure::NoSocket), ListFreshness::Unverified);
 }
 
-/// Guards against a crowd that lasts, and refuses all calls alike, passing for an outage.
+/// Guards against a lasting overload, in which all calls are refused alike, being taken for an outage.
 #[test]
-fn no_number_of_refusals_lets_the_list_of_the_start_into_use() {
+fn refusals_never_make_the_initial_list_usable() {
     for failure in UNCLEAR {
         let mut subscription = starting();
         for call in 0..50 {
             let asked = fail_call(&mut subscription, failure);
-            let found = standing(&subscription, asked + Micros(2 * SECOND));
+            let found = freshness(&subscription, asked + Micros(2 * SECOND));
             assert_eq!(found, ListFreshness::Unverified, "{failure:?}, call {call}");
         }
         fail_call(&mut subscription, CallFailure::NoConnection);
@@ -93,215 +95,226 @@
     }
 }
 
-/// Guards against the end of a watch that passes for proof that nothing was missed: it may end in place of a change.
+/// Guards against taking the end of a watch as evidence that no change was missed: the watch may end in place
+/// of a change.
 #[test]
-fn the_loss_of_a_watch_is_good_for_the_time_of_the_next_answer() {
-    let good_for = |instances, how| {
-        let (subscription, complete) = lost_in(instances, how);
+fn after_a_lost_watch_the_list_is_usable_until_the_next_answer_is_due() {
+    let usable_tenths = |instances, failure| {
+        let (subscription, complete) = with_lost_watch_in(instances, failure);
         let now = complete + Micros(SECOND);
         let is_stale = |after: &i64| subscription.is_stale(now + Micros(after * SECOND / 10));
-        (0..100).find(is_stale).expect("it ends")
+        (0..100).find(is_stale).expect("the lease ends")
     };
     let incomplete =
         [CallFailure::WatchEnded, CallFailure::WatchSilent, CallFailure::WatchCut, CallFailure::Unreadable];
-    for how in incomplete {
-        assert_eq!((good_for(SMALL, how), good_for(LARGE, how)), (20, 22), "{how:?}");
-        // Never for longer than the lease after the last line.
-        assert_eq!(good_for(300, how), 50, "{how:?}");
+    for failure in incomplete {
+        assert_eq!((usable_tenths(SMALL, failure), usable_tenths(LARGE, failure)), (20, 22), "{failure:?}");
+        // The list is never used for longer than the lease after the last line.
+        assert_eq!(usable_tenths(300, failure), 50, "{failure:?}");
     }
     let broken = CallFailure::WatchBroken;
-    assert_eq!((good_for(SMALL, broken), good_for(LARGE, broken)), (20, 50));
+    assert_eq!((usable_tenths(SMALL, broken), usable_tenths(LARGE, broken)), (20, 50));
 }
 
 #[test]
-fn a_call_that_meets_nobody_renews_the_lease() {
-    for (instances, how) in [(SMALL, CallFailure::WatchEnded), (LARGE, CallFailure::WatchBroken)] {
-        let (mut subscription, _) = lost_in(instances, how);
+fn a_call_that_finds_the_registry_unreachable_renews_the_lease() {
+    for (instances, failure) in [(SMALL, CallFailure::WatchEnded), (LARGE, CallFailure::WatchBroken)] {
+        let (mut subscription, _) = with_lost_watch_in(instances, failure);
         for _ in 0..50 {
-            let asked = fail_call(&mut subscription, DOWN[0]);
+            let asked = fail_call(&mut subscription, UNREACHABLE[0]);
             let good = asked + LEASE - Micros(1);
-            assert_eq!(standing(&subscription, good), ListFreshness::Leased, "{how:?}");
-            assert_eq!(standing(&subscription, asked + LEASE), ListFreshness::Stale, "{how:?}");
+            assert_eq!(freshness(&subscription, good), ListFreshness::Leased, "{failure:?}");
+            assert_eq!(freshness(&subscription, asked + LEASE), ListFreshness::Stale, "{failure:?}");
         }
     }
 }
 
-/// Guards against doubt without end: a registry that is up and refuses this process alone passes for one that is down.
+/// Guards against unclear failures renewing a lease without end: a registry that is up but refuses this
+/// process alone would be taken for one that is down.
 #[test]
-fn doubt_ends_with_the_lease_in_a_small_fleet_and_after_90_s_in_any() {
-    const DOUBT_MOST: Micros = Micros(90 * SECOND);
+fn unclear_failures_extend_no_lease_in_a_small_fleet_and_none_past_90_s_in_any() {
+    const MAX_UNCLEAR_RENEWAL: Micros = Micros(90 * SECOND);
     for failure in UNCLEAR {
-        let (mut subscription, complete) = lost(CallFailure::WatchBroken);
+        let (mut subscription, complete) = with_lost_watch(CallFailure::WatchBroken);
         fail_call(&mut subscription, failure);
-        assert_eq!(standing(&subscription, complete + LEASE - Micros(1)), ListFreshness::Leased);
+        assert_eq!(freshness(&subscription, complete + LEASE - Micros(1)), ListFreshness::Leased);
         for _ in 0..20 {
             let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-            assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}");
+            assert_eq!(freshness(&subscription, asked), ListFreshness::Stale, "{failure:?}");
         }
-        // In whose place the watch ended, a registry was up.
-        let (mut subscription, complete) = lost_in(LARGE, CallFailure::WatchEnded);
+        // The registry was up when it ended the watch.
+        let (mut subscription, complete) = with_lost_watch_in(LARGE, CallFailure::WatchEnded);
         let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-        assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}");
+        assert_eq!(freshness(&subscription, asked), ListFreshness::Stale, "{failure:?}");
     }
-    let (mut subscription, complete) = lost_in(LARGE, CallFailure::WatchBroken);
+    let (mut subscription, complete) = with_lost_watch_in(LARGE, CallFailure::WatchBroken);
     for _ in 0..50 {
         let asked = fail_call(&mut subscription, CallFailure::Busy);
-        let good = asked.min(complete + DOUBT_MOST) + LEASE;
-        assert_eq!(standing(&subscription, good - Micros(1)), ListFreshness::Leased);
+        let good = asked.min(complete + MAX_UNCLEAR_RENEWAL) + LEASE;
+        assert_eq!(freshness(&subscription, good - Micros(1)), ListFreshness::Leased);
         let ended = good.max(asked);
-        assert_eq!(standing(&subscription, ended), ListFreshness::Stale, "{asked:?}");
+        assert_eq!(freshness(&subscription, ended), ListFreshness::Stale, "{asked:?}");
     }
-    // A call that is out does no more than one that has failed.
-    let out_for_long = next_ask(&mut subscription) + Micros(3 * SECOND);
-    assert_eq!(standing(&subscription, out_for_long), ListFreshness::Stale);
+    // A call in flight renews no more than a failed one.
+    let in_flight_for_long = make_next_call(&mut subscription) + Micros(3 * SECOND);
+    assert_eq!(freshness(&subscription, in_flight_for_long), ListFreshness::Stale);
 }
 
-/// Guards against calls that come up and bring no byte passing for an outage: somebody is there, and does not hear this process.
+/// Guards against taking calls that connect but bring no byte for an outage: something accepts them, but does
+/// not receive what this process sends.
 #[test]
-fn a_call_without_a_byte_keeps_no_list_past_the_lease_in_a_fleet_of_any_size() {
+fn a_call_without_any_answer_extends_no_lease_in_a_fleet_of_any_size() {
     for failure in [CallFailure::ClosedBeforeAnswer, CallFailure::NoAnswer] {
         for instances in [SMALL, LARGE, 300, 990] {
-            let (mut subscription, complete) = lost_in(instances, CallFailure::WatchBroken);
+            let (mut subscription, complete) = with_lost_watch_in(instances, CallFailure::WatchBroken);
             for _ in 0..20 {
                 let asked = fail_call(&mut subscription, failure).max(complete + LEASE);
-                assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{failure:?}, {instances}");
-                // Nor does a call that is out for long.
-                let out_for_long = asked + Micros(3 * SECOND);
-                assert_eq!(standing(&subscription, out_for_long), ListFreshness::Stale, "{failure:?}");
+                assert_eq!(freshness(&subscription, asked), ListFreshness::Stale, "{failure:?}, {instances}");
+                // A call that has been in flight for long renews the lease no more than a failed one.
+                let in_flight_for_long = asked + Micros(3 * SECOND);
+                assert_eq!(freshness(&subscription, in_flight_for_long), ListFreshness::Stale, "{failure:?}");
             }
         }
     }
 }
 
-/// Guards against a list that was stale, and comes into use again by a call that was turned away: nothing new is known of it.
+/// Guards against a stale list becoming usable again through a refused call, which brings no new evidence
+/// about the list.
 #[test]
-fn a_list_that_is_stale_stays_so_whatever_calls_are_turned_away() {
-    let (mut subscription, complete) = lost_in(990, CallFailure::WatchBroken);
-    let mut asked = next_ask(&mut subscription);
+fn refused_calls_do_not_make_a_stale_list_usable() {
+    let (mut subscription, complete) = with_lost_watch_in(990, CallFailure::WatchBroken);
+    let mut asked = make_next_call(&mut subscription);
     while asked < complete + LEASE {
         subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, CallFailure::ClosedBeforeAnswer);
-        asked = next_ask(&mut subscription);
+        asked = make_next_call(&mut subscription);
     }
     subscription.call_or_watch_failed(asked + Micros(2 * SECOND), asked, CallFailure::Busy);
-    assert_eq!(standing(&subscription, asked + Micros(2 * SECOND)), ListFreshness::Stale);
+    assert_eq!(freshness(&subscription, asked + Micros(2 * SECOND)), ListFreshness::Stale);
 }
 
-/// Guards against a call that is out, and so has a connection, passing for one that meets nobody in a small fleet.
+/// Guards against taking a call in flight, which therefore has a connection, for one that reaches no registry
+/// in a small fleet.
 #[test]
-fn in_a_small_fleet_a_call_that_is_out_keeps_no_list_in_use() {
-    let (mut subscription, _) = lost(CallFailure::WatchBroken);
+fn in_a_small_fleet_a_call_in_flight_extends_no_lease() {
+    let (mut subscription, _) = with_lost_watch(CallFailure::WatchBroken);
     let asked = fail_call(&mut subscription, CallFailure::NoConnection);
-    let out = next_ask(&mut subscription);
+    let out = make_next_call(&mut subscription);
     let late = (out + Micros(3 * SECOND)).max(asked + LEASE);
-    assert_eq!(standing(&subscription, late), ListFreshness::Stale);
+    assert_eq!(freshness(&subscription, late), ListFreshness::Stale);
 }
 
-/// Guards against an answer that was begun, or that cannot be used, passing for an outage.
+/// Guards against taking an answer that was begun, or that cannot be used, for an outage.
 #[test]
-fn a_call_that_meets_a_registry_in_reach_renews_no_lease_and_neither_do_later_ones() {
-    for failure in UP {
-        let (mut subscription, complete) = lost(CallFailure::WatchEnded);
+fn after_a_call_reached_the_registry_no_failed_call_renews_the_lease() {
+    for failure in REACHABLE {
+        let (mut subscription, complete) = with_lost_watch(CallFailure::WatchEnded);
         fail_call(&mut subscription, failure);
-        assert_eq!(standing(&subscription, complete + LEASE), ListFreshness::Stale, "{failure:?}");
-        for later in DOWN.into_iter().chain(UNCLEAR).chain([CallFailure::NoSocket]) {
+        assert_eq!(freshness(&subscription, complete + LEASE), ListFreshness::Stale, "{failure:?}");
+        for later in UNREACHABLE.into_iter().chain(UNCLEAR).chain([CallFailure::NoSocket]) {
             let asked = fail_call(&mut subscription, later);
             let ended = (asked + Micros(2 * SECOND)).max(complete + LEASE);
-            assert_eq!(standing(&subscription, ended), ListFreshness::Stale, "{failure:?}, {later:?}");
+            assert_eq!(freshness(&subscription, ended), ListFreshness::Stale, "{failure:?}, {later:?}");
         }
-        next_ask(&mut subscription);
+        make_next_call(&mut subscription);
         subscription.update_received();
-        assert_eq!(standing(&subscription, complete + LEASE), ListFreshness::Watched);
+        assert_eq!(freshness(&subscription, complete + LEASE), ListFreshness::Watched);
     }
 }
 
-/// Guards against calls that fail after a silence, or behind half a line, and renew the lease of a list that lacks changes.
+/// Guards against calls that fail after a watch went without data or ended with half a line, and renew the
+/// lease of a list that lacks changes.
 #[test]
-fn what_an_open_watch_may_have_missed_binds_whatever_later_calls_meet() {
-    for how in [CallFailure::WatchSilent, CallFailure::WatchCut, CallFailure::Unreadable] {
-        for later in DOWN.into_iter().chain(UNCLEAR) {
-            let (mut subscription, complete) = lost(how);
+fn after_a_watch_that_may_have_missed_changes_no_failed_call_renews_the_lease() {
+    for failure in [CallFailure::WatchSilent, CallFailure::WatchCut, CallFailure::Unreadable] {
+        for later in UNREACHABLE.into_iter().chain(UNCLEAR) {
+            let (mut subscription, complete) = with_lost_watch(failure);
             let mut asked = fail_call(&mut subscription, later);
             while asked < complete + LEASE {
                 asked = fail_call(&mut subscription, later);
             }
-            assert_eq!(standing(&subscription, asked), ListFreshness::Stale, "{how:?}, {later:?}");
-            // Nor does a call that is out for long.
-            let again = next_ask(&mut subscription);
-            let long_out = again + Micros(3 * SECOND);
-            assert_eq!(standing(&subscription, long_out), ListFreshness::Stale, "{how:?}, {later:?}");
+            assert_eq!(freshness(&subscription, asked), ListFreshness::Stale, "{failure:?}, {later:?}");
+            // A call that has been in flight for long renews the lease no more than a failed one.
+            let again = make_next_call(&mut subscription);
+            let in_flight_for_long = again + Micros(3 * SECOND);
+            assert_eq!(
+                freshness(&subscription, in_flight_for_long),
+                ListFreshness::Stale,
+                "{failure:?}, {later:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_call_that_is_out_for_long_is_taken_for_failed_until_its_answer_begins() {
-    let (mut subscription, _) = lost_in(LARGE, CallFailure::WatchBroken);
+fn a_call_in_flight_for_long_counts_as_failed_until_its_answer_begins() {
+    let (mut subscription, _) = with_lost_watch_in(LARGE, CallFailure::WatchBroken);
     fail_call(&mut subscription, CallFailure::Busy);
-    // Past the lease of the one before.
-    let asked = next_ask(&mut subscription);
+    // The time is past the lease that the call before renewed.
+    let asked = make_next_call(&mut subscription);
     let late = asked + Micros(5 * SECOND);
-    assert_eq!(standing(&subscription, late), ListFreshness::Leased);
+    assert_eq!(freshness(&subscription, late), ListFreshness::Leased);
     subscription.answer_started();
-    assert_eq!(standing(&subscription, late), ListFreshness::Stale);
+    assert_eq!(freshness(&subscription, late), ListFreshness::Stale);
 }
 
-/// Guards against a move of discovery that gives a list a new life.
+/// Guards against an address change of discovery renewing the lease of a list.
 #[test]
-fn a_move_of_the_registry_renews_no_lease() {
-    for how in [CallFailure::WatchEnded, CallFailure::WatchSilent] {
-        let (mut subscription, complete) = lost(how);
+fn an_address_change_of_the_registry_renews_no_lease() {
+    for failure in [CallFailure::WatchEnded, CallFailure::WatchSilent] {
+        let (mut subscription, complete) = with_lost_watch(failure);
         for moves in 1..=5 {
             subscription.registry_moved(complete + Micros(moves * SECOND));
         }
         let good = complete + Micros(SECOND) + AFTER_LOSS;
-        assert_eq!(standing(&subscription, good - Micros(1)), ListFreshness::Leased);
-        assert_eq!(standing(&subscription, good), ListFreshness::Stale);
+        assert_eq!(freshness(&subscription, good - Micros(1)), ListFreshness::Leased);
+        assert_eq!(freshness(&subscription, good), ListFreshness::Stale);
     }
     let mut subscription = starting();
     subscription.registry_moved(Micros(SECOND));
-    assert_eq!(standing(&subscription, Micros(SECOND)), ListFreshness::Unverified);
+    assert_eq!(freshness(&subscription, Micros(SECOND)), ListFreshness::Unverified);
 }
 
-/// Guards against a process that is put off for as long as new configurations come one behind the other.
+/// Guards against a call that is postponed for as long as new configurations follow one another.
 #[test]
-fn a_series_of_moves_does_not_put_the_call_off() {
+fn a_series_of_address_changes_does_not_postpone_the_call() {
     for instances in [9, 300] {
-        let (mut subscription, complete) = lost_in(instances, CallFailure::WatchBroken);
-        let lost = complete + Micros(SECOND);
-        let (mut now, mut asked) = (lost, None);
-        while asked.is_none() && now < lost + Micros(30 * SECOND) {
+        let (mut subscription, complete) = with_lost_watch_in(instances, CallFailure::WatchBroken);
+        let lost_at = complete + Micros(SECOND);
+        let (mut now, mut asked) = (lost_at, None);
+        while asked.is_none() && now < lost_at + Micros(30 * SECOND) {
             now += Micros(SECOND / 10);
             asked = subscription.poll(now).then_some(now);
             if asked.is_none() {
                 subscription.registry_moved(now);
             }
         }
-        assert!(asked.is_some_and(|at| at <= lost + Micros(6_200_000)), "{instances}: {asked:?}");
+        assert!(asked.is_some_and(|at| at <= lost_at + Micros(6_200_000)), "{instances}: {asked:?}");
     }
 }
 
-/// New settings make a new instance: what is known of the list is as good as it was.
+/// New settings create a new instance, for which the list stays valid exactly as long as before.
 #[test]
-fn whoever_goes_on_from_another_knows_what_that_one_knew() {
-    let (mut before, complete) = lost(CallFailure::WatchSilent);
+fn a_subscription_that_continues_another_keeps_its_list_validity() {
+    let (mut before, complete) = with_lost_watch(CallFailure::WatchSilent);
     fail_call(&mut before, CallFailure::NoConnection);
     let mut after = starting();
     after.continue_from(&before);
     let good = complete + Micros(SECOND) + AFTER_LOSS;
-    assert_eq!(standing(&after, good - Micros(1)), ListFreshness::Leased);
-    assert_eq!(standing(&after, good), ListFreshness::Stale);
+    assert_eq!(freshness(&after, good - Micros(1)), ListFreshness::Leased);
+    assert_eq!(freshness(&after, good), ListFreshness::Stale);
     let mut after = starting();
     after.continue_from(&starting());
-    assert_eq!(standing(&after, Micros(0)), ListFreshness::Unverified);
+    assert_eq!(freshness(&after, Micros(0)), ListFreshness::Unverified);
 }
 
-/// However large the fleet, a process asks soon: until then it has no list that it may use.
+/// A process calls soon after its start in a fleet of any size: until the answer it has no list that it may
+/// use.
 #[test]
 fn the_first_call_comes_soon_in_a_fleet_of_any_size() {
     for instances in [1, 66, 220, 990, 3_200] {
         for seed in 0..50 {
             let subscription = Subscription::new(Registry::Shared { instances }, seed, Micros(0));
-            let first = subscription.next_timeout().expect("it waits");
+            let first = subscription.next_timeout().expect("a call is planned");
             assert!(first <= Micros(5_600_000), "{instances}: {first:?}");
         }
     }
