--- a/crates/routing/src/failover_tests.rs
+++ b/crates/routing/src/failover_tests.rs
@@ -1,96 +1,104 @@
-//! Tests of failover between pools: leaving, returning, flapping, and random shares of healthy nodes.
+//! Tests of failover between pools: losing traffic, getting it back, flapping, and random shares of healthy
+//! nodes.
 
 use super::*;
 use proptest::prelude::*;
 
-fn s(seconds: i64) -> Micros {
-    Micros(seconds * 1_000_000)
+fn seconds(count: i64) -> Micros {
+    Micros(count * 1_000_000)
 }
 
 #[test]
-fn a_pool_is_left_at_once_and_returned_to_slowly() {
-    let mut f = PoolFailover::new(FailoverRules::default(), s(0));
-    assert_eq!(f.update(s(1), 0.5), None, "the bound itself is not below it");
-    assert_eq!(f.update(s(2), 0.49), Some(Transition::Left));
-    assert_eq!(f.traffic_share(s(2)), 0.0);
-    assert_eq!(f.update(s(3), 0.69), None, "between the bounds nothing changes");
-    assert_eq!(f.update(s(4), 0.9), None);
-    assert_eq!(f.update(s(10), 0.6), None, "a dip starts the hold over");
-    assert_eq!(f.update(s(11), 0.9), None);
-    assert_eq!(f.update(s(20), 0.9), None);
-    assert_eq!(f.update(s(21), 0.9), Some(Transition::Returning));
-    assert_eq!((f.traffic_share(s(21)), f.traffic_share(s(36)), f.traffic_share(s(51))), (0.0, 0.5, 1.0));
-    assert_eq!(f.update(s(51), 0.9), Some(Transition::Restored));
+fn traffic_leaves_a_pool_at_once_and_returns_slowly() {
+    let mut pool = PoolFailover::new(FailoverRules::default(), seconds(0));
+    assert_eq!(pool.update(seconds(1), 0.5), None, "the bound itself is not below it");
+    assert_eq!(pool.update(seconds(2), 0.49), Some(Transition::Left));
+    assert_eq!(pool.traffic_share(seconds(2)), 0.0);
+    assert_eq!(pool.update(seconds(3), 0.69), None, "between the bounds nothing changes");
+    assert_eq!(pool.update(seconds(4), 0.9), None);
+    assert_eq!(pool.update(seconds(10), 0.6), None, "a dip restarts the hold-down time");
+    assert_eq!(pool.update(seconds(11), 0.9), None);
+    assert_eq!(pool.update(seconds(20), 0.9), None);
+    assert_eq!(pool.update(seconds(21), 0.9), Some(Transition::Returning));
+    assert_eq!(
+        (pool.traffic_share(seconds(21)), pool.traffic_share(seconds(36)), pool.traffic_share(seconds(51))),
+        (0.0, 0.5, 1.0)
+    );
+    assert_eq!(pool.update(seconds(51), 0.9), Some(Transition::Restored));
 }
 
 #[test]
-fn a_flapping_pool_is_held_off_for_longer_each_time_up_to_a_bound() {
-    let mut f = PoolFailover::new(FailoverRules::default(), s(0));
-    let mut now = s(0);
-    let mut holds = Vec::new();
+fn the_hold_down_time_of_a_flapping_pool_doubles_up_to_a_bound() {
+    let mut pool = PoolFailover::new(FailoverRules::default(), seconds(0));
+    let mut now = seconds(0);
+    let mut hold_downs = Vec::new();
     for _ in 0..8 {
-        f.update(now, 0.0);
+        pool.update(now, 0.0);
         let from = now;
         loop {
-            if f.update(now, 1.0) == Some(Transition::Returning) {
+            if pool.update(now, 1.0) == Some(Transition::Returning) {
                 break;
             }
-            now += s(1);
+            now += seconds(1);
         }
-        holds.push((now - from).0 / 1_000_000);
-        now += s(1);
+        hold_downs.push((now - from).0 / 1_000_000);
+        now += seconds(1);
     }
-    assert_eq!(holds, [10, 20, 40, 80, 160, 300, 300, 300]);
-    // Fit for long enough, it starts over.
+    assert_eq!(hold_downs, [10, 20, 40, 80, 160, 300, 300, 300]);
+    // After it has been active for long enough, the pool starts over with the first hold-down time.
     for _ in 0..200 {
-        now += s(1);
-        f.update(now, 1.0);
+        now += seconds(1);
+        pool.update(now, 1.0);
     }
-    f.update(now, 0.0);
-    f.update(now, 1.0);
-    now += s(10);
-    assert_eq!(f.update(now, 1.0), Some(Transition::Returning));
+    pool.update(now, 0.0);
+    pool.update(now, 1.0);
+    now += seconds(10);
+    assert_eq!(pool.update(now, 1.0), Some(Transition::Returning));
 }
 
 #[test]
-fn without_a_fit_pool_the_healthiest_is_taken() {
-    let mut list = vec![PoolFailover::new(FailoverRules::default(), s(0)); 3];
-    for (f, share) in list.iter_mut().zip([0.1, 0.3, 0.3]) {
-        f.update(s(1), share);
+fn without_an_active_pool_the_healthiest_is_chosen() {
+    let mut list = vec![PoolFailover::new(FailoverRules::default(), seconds(0)); 3];
+    for (pool, share) in list.iter_mut().zip([0.1, 0.3, 0.3]) {
+        pool.update(seconds(1), share);
     }
-    assert_eq!(choose_pool(list.iter(), s(1), 5), Some(1));
-    assert_eq!(choose_pool([].iter(), s(1), 5), None);
+    assert_eq!(choose_pool(list.iter(), seconds(1), 5), Some(1));
+    assert_eq!(choose_pool([].iter(), seconds(1), 5), None);
 }
 
 proptest! {
-    /// While a pool is returned to, a key that has come back stays, whatever the order of asking.
+    /// While traffic returns to a pool, a key that has returned stays there, whenever and however often it is
+    /// looked up.
     #[test]
-    fn keys_come_back_once_and_stay(key: u64, times in prop::collection::vec(0i64..60, 1..20)) {
-        let mut list = vec![PoolFailover::new(FailoverRules::default(), s(0)); 2];
-        list[0].update(s(0), 0.0);
-        list[0].update(s(1), 1.0);
-        list[0].update(s(11), 1.0);
+    fn keys_return_once_and_stay(key: u64, times in prop::collection::vec(0i64..60, 1..20)) {
+        let mut list = vec![PoolFailover::new(FailoverRules::default(), seconds(0)); 2];
+        list[0].update(seconds(0), 0.0);
+        list[0].update(seconds(1), 1.0);
+        list[0].update(seconds(11), 1.0);
         let mut times = times;
         times.sort_unstable();
-        let mut back = false;
-        for t in times {
-            list[0].update(s(11 + t), 1.0);
-            let here = choose_pool(list.iter(), s(11 + t), key) == Some(0);
-            prop_assert!(here || !back);
-            back = here;
+        let mut has_returned = false;
+        for elapsed in times {
+            list[0].update(seconds(11 + elapsed), 1.0);
+            let is_first = choose_pool(list.iter(), seconds(11 + elapsed), key) == Some(0);
+            prop_assert!(is_first || !has_returned);
+            has_returned = is_first;
         }
     }
 
-    /// Whatever the shares do, a part is a part, and no two changes of one kind follow each other at once.
+    /// For random healthy shares, the part of the traffic stays within 0 to 1, and no transition follows
+    /// itself.
     #[test]
-    fn random_shares_keep_the_machine_sound(shares in prop::collection::vec((0i64..20, 0.0..1.0f64), 1..200)) {
+    fn random_shares_lead_to_valid_transitions_only(
+        shares in prop::collection::vec((0i64..20, 0.0..1.0f64), 1..200),
+    ) {
         let rules = FailoverRules::default();
-        let mut f = PoolFailover::new(rules.clone(), s(0));
-        let (mut now, mut last, mut left_at) = (s(0), None, s(0));
+        let mut pool = PoolFailover::new(rules.clone(), seconds(0));
+        let (mut now, mut last, mut left_at) = (seconds(0), None, seconds(0));
         for (step, share) in shares {
-            now += s(step);
-            let change = f.update(now, share);
-            prop_assert!((0.0..=1.0).contains(&f.traffic_share(now)));
+            now += seconds(step);
+            let change = pool.update(now, share);
+            prop_assert!((0.0..=1.0).contains(&pool.traffic_share(now)));
             if change == Some(Transition::Left) {
                 prop_assert!(share < rules.leave_below);
                 left_at = now;
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,87 +1,93 @@
-//! How many of a pool's nodes are well, as far as failover between pools is concerned.
+//! The number of healthy nodes of a pool, as used for failover between pools.
 //!
-//! The decision module leaves out single outliers, and never most of them: where all are in trouble it has nobody to
-//! prefer. Failover asks the other question, whether the pool as a whole can serve, so it keeps plain marks of its
-//! own: a node is down once so many attempts in a row have failed there, until one succeeds or the mark is old. Old
-//! marks go because a pool that is left brings no news of its nodes.
+//! The decision module ejects single outliers but never most of the servers: if all of them have problems
+//! there is no server to prefer. Failover asks a different question, whether the pool as a whole can serve,
+//! so this module keeps simple records of its own: a node counts as down after `DOWN_AFTER_FAILURES`
+//! attempts in a row have failed, until one succeeds or the record expires. Records expire because a pool
+//! without traffic gets no new results from its nodes.
 
 use garnettally_model::{Code, Listed, Micros, ServerId};
 use rustc_hash::FxHashMap;
 
-/// Failures in a row that mark a node as down: one may be the request's fault.
-const FAILURES: u32 = 3;
-/// For how long a mark is believed without news; shorter than the hold of any sensible rule.
-const MEMORY: Micros = Micros(5_000_000);
+/// Number of failures in a row after which a node counts as down: a single one may be the request's fault.
+const DOWN_AFTER_FAILURES: u32 = 3;
+/// For how long a failure counts without a new one; shorter than any sensible hold-down time.
+const FAILURE_MEMORY: Micros = Micros(5_000_000);
 
 #[derive(Clone, Copy, Default)]
-struct Mark {
+struct FailureRecord {
     failures: u32,
-    at: Micros,
+    last_failure_at: Micros,
 }
 
-/// The nodes of one pool.
+/// The health of the nodes of one pool.
 #[derive(Default)]
 pub struct NodeHealth {
-    listed: FxHashMap<ServerId, (bool, Mark)>,
-    ready: usize,
+    listed: FxHashMap<ServerId, (bool, FailureRecord)>,
+    ready_count: usize,
 }
 
 impl NodeHealth {
-    /// A whole list has come: those that it leaves out go, and are named.
+    /// Removes the nodes that a new whole list leaves out, and returns their ids. `keep` tells whether a node
+    /// is on the list.
     pub fn retain_listed(&mut self, keep: impl Fn(ServerId) -> bool) -> Vec<ServerId> {
-        let gone: Vec<ServerId> = self.listed.keys().copied().filter(|id| !keep(*id)).collect();
-        for &id in &gone {
+        let removed: Vec<ServerId> = self.listed.keys().copied().filter(|id| !keep(*id)).collect();
+        for &id in &removed {
             self.set_listed(id, Listed::Gone);
         }
-        gone
+        removed
     }
 
-    /// Takes in one entry of a list.
+    /// Applies one entry of a list.
     pub fn set_listed(&mut self, id: ServerId, state: Listed) {
-        let ready = state == Listed::Ready;
-        let before = match state {
-            Listed::Gone => self.listed.remove(&id).map(|(was, _)| was),
+        let is_ready = state == Listed::Ready;
+        let was_ready = match state {
+            Listed::Gone => self.listed.remove(&id).map(|(was_ready, _)| was_ready),
             _ => {
-                let mark = self.listed.get(&id).map(|(_, mark)| *mark).unwrap_or_default();
-                self.listed.insert(id, (ready, mark)).map(|(was, _)| was)
+                let record = self.listed.get(&id).map(|(_, record)| *record).unwrap_or_default();
+                self.listed.insert(id, (is_ready, record)).map(|(was_ready, _)| was_ready)
             }
         };
-        self.ready = self.ready + usize::from(ready) - usize::from(before == Some(true));
+        self.ready_count = self.ready_count + usize::from(is_ready) - usize::from(was_ready == Some(true));
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the result of an attempt.
     pub fn attempt_ended(&mut self, now: Micros, id: ServerId, code: Code) {
-        let Some((_, mark)) = self.listed.get_mut(&id) else { return };
+        let Some((_, record)) = self.listed.get_mut(&id) else { return };
         match code {
-            Code::Ok | Code::Rejected => *mark = Mark::default(),
+            Code::Ok | Code::Rejected => *record = FailureRecord::default(),
             Code::Error | Code::Timeout | Code::ConnectFailed | Code::Reset => {
-                let before = if now - mark.at > MEMORY { 0 } else { mark.failures };
-                *mark = Mark { failures: before.saturating_add(1), at: now };
+                let failures =
+                    if now - record.last_failure_at > FAILURE_MEMORY { 0 } else { record.failures };
+                *record = FailureRecord { failures: failures.saturating_add(1), last_failure_at: now };
             }
-            // Full: it is there, and says so. The others tell nothing of it.
+            // A node that answers that it is full is up but has not served. The other codes say nothing about
+            // the node.
             Code::Full | Code::Cancelled | Code::Moot => {}
         }
     }
 
-    /// Nodes that are listed as ready.
+    /// The number of nodes that are listed as ready.
     pub fn ready_count(&self) -> usize {
-        self.ready
+        self.ready_count
     }
 
-    /// Of the nodes listed, the part that is ready and not marked as down; 0 without any.
+    /// The share of the listed nodes that are ready and not down, from 0 to 1; 0 without any nodes.
     pub fn healthy_share(&self, now: Micros) -> f64 {
-        self.well(now) as f64 / self.listed.len().max(1) as f64
+        self.healthy_count(now) as f64 / self.listed.len().max(1) as f64
     }
 
-    /// The nodes listed, and those of them that are draining or marked as down.
+    /// The number of listed nodes, and how many of them are draining or down.
     pub fn node_counts(&self, now: Micros) -> (usize, usize) {
-        (self.listed.len(), self.listed.len() - self.well(now))
+        (self.listed.len(), self.listed.len() - self.healthy_count(now))
     }
 
-    fn well(&self, now: Micros) -> usize {
-        let well =
-            |(ready, mark): &&(bool, Mark)| *ready && (mark.failures < FAILURES || now - mark.at > MEMORY);
-        self.listed.values().filter(well).count()
+    fn healthy_count(&self, now: Micros) -> usize {
+        let is_healthy = |(is_ready, record): &&(bool, FailureRecord)| {
+            *is_ready
+                && (record.failures < DOWN_AFTER_FAILURES || now - record.last_failure_at > FAILURE_MEMORY)
+        };
+        self.listed.values().filter(is_healthy).count()
     }
 }
 
--- a/crates/routing/src/health_tests.rs
+++ b/crates/routing/src/health_tests.rs
@@ -1,28 +1,28 @@
-//! Tests of the health marks of nodes: when a node counts as down, and when it counts as well again.
+//! Tests of the failure records of nodes: when a node counts as down, and when it counts as healthy again.
 
 use super::*;
 
 #[test]
-fn a_node_is_down_after_failures_in_a_row_until_it_serves_or_the_mark_is_old() {
+fn a_node_is_down_after_failures_in_a_row_until_it_serves_or_the_record_expires() {
     let (a, b) = (ServerId(0), ServerId(1));
-    let mut n = NodeHealth::default();
-    assert_eq!(n.healthy_share(Micros(0)), 0.0);
-    n.set_listed(a, Listed::Ready);
-    n.set_listed(b, Listed::Ready);
+    let mut nodes = NodeHealth::default();
+    assert_eq!(nodes.healthy_share(Micros(0)), 0.0);
+    nodes.set_listed(a, Listed::Ready);
+    nodes.set_listed(b, Listed::Ready);
     for code in [Code::Error, Code::Full, Code::Reset, Code::Cancelled] {
-        n.attempt_ended(Micros(1), a, code);
+        nodes.attempt_ended(Micros(1), a, code);
     }
-    assert_eq!(n.healthy_share(Micros(1)), 1.0, "two failures are not enough");
-    n.attempt_ended(Micros(1), a, Code::ConnectFailed);
-    assert_eq!(n.healthy_share(Micros(1)), 0.5);
-    assert_eq!(n.healthy_share(Micros(2) + MEMORY), 1.0, "the mark is old");
-    n.attempt_ended(Micros(2), a, Code::Ok);
-    assert_eq!(n.healthy_share(Micros(2)), 1.0);
-    n.set_listed(b, Listed::Draining);
-    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (1, 0.5));
-    n.set_listed(b, Listed::Gone);
-    n.set_listed(b, Listed::Gone);
-    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (1, 1.0));
-    assert_eq!(n.retain_listed(|_| false), [a]);
-    assert_eq!((n.ready_count(), n.healthy_share(Micros(2))), (0, 0.0));
+    assert_eq!(nodes.healthy_share(Micros(1)), 1.0, "two failures are not enough");
+    nodes.attempt_ended(Micros(1), a, Code::ConnectFailed);
+    assert_eq!(nodes.healthy_share(Micros(1)), 0.5);
+    assert_eq!(nodes.healthy_share(Micros(2) + FAILURE_MEMORY), 1.0, "the record has expired");
+    nodes.attempt_ended(Micros(2), a, Code::Ok);
+    assert_eq!(nodes.healthy_share(Micros(2)), 1.0);
+    nodes.set_listed(b, Listed::Draining);
+    assert_eq!((nodes.ready_count(), nodes.healthy_share(Micros(2))), (1, 0.5));
+    nodes.set_listed(b, Listed::Gone);
+    nodes.set_listed(b, Listed::Gone);
+    assert_eq!((nodes.ready_count(), nodes.healthy_share(Micros(2))), (1, 1.0));
+    assert_eq!(nodes.retain_listed(|_| false), [a]);
+    assert_eq!((nodes.ready_count(), nodes.healthy_share(Micros(2))), (0, 0.0));
 }
--- a/crates/routing/src/pattern.rs
+++ b/crates/routing/src/pattern.rs
@@ -2,68 +2,71 @@
 
 use std::cmp::Ordering;
 
-/// The most segments a path pattern may have, and that are looked at in a request's path.
+/// The largest number of segments of a path pattern, and the number of segments of a request's path that are
+/// compared.
 pub const MAX_SEGMENTS: usize = 64;
-/// The most parameters of one path template.
+/// The largest number of parameters of one path template.
 pub const MAX_PARAMS: usize = 8;
 
 /// Why a pattern can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
-    /// A host pattern that is no host name.
-    #[error("{0:?} is no host: write a name such as api.example.org, *.example.org or *")]
+    /// The host pattern is not a host name.
+    #[error("{0:?} is not a host: write a name such as api.example.org, *.example.org or *")]
     InvalidHost(String),
-    /// A path that does not begin with a slash.
-    #[error("{0:?} is no path: it must begin with '/'")]
+    /// The path does not begin with a slash.
+    #[error("{0:?} is not a path: it must begin with '/'")]
     MissingLeadingSlash(String),
-    /// A path with more segments than are looked at.
+    /// The path has more segments than are compared.
     #[error("{0:?} has more than {MAX_SEGMENTS} segments")]
     TooManySegments(String),
-    /// A template with more parameters than are kept.
+    /// The template has more parameters than are stored.
     #[error("{0:?} has more than {MAX_PARAMS} parameters")]
     TooManyParams(String),
-    /// Braces that make no parameter.
+    /// The braces of a segment do not enclose a parameter name.
     #[error("segment {0:?}: a parameter takes a whole segment, {{name}}, of letters, digits, '_' or '-'")]
     MisplacedBraces(String),
-    /// One name for two parameters.
-    #[error("parameter {0:?} stands twice in one path")]
+    /// Two parameters have the same name.
+    #[error("parameter {0:?} occurs twice in one path")]
     DuplicateParam(String),
-    /// A query, a fragment or a dot segment, which no path that is matched has.
+    /// The path has a query, a fragment or a dot segment, and so can match no request.
     #[error("{0:?} can't be matched: a path has no '?', no '#' and no '.' or '..' segment")]
     Unmatchable(String),
 }
 
-/// Which hosts a route is for; the port of a request's host is not looked at, nor upper case.
+/// The hosts that a route applies to. The port of a request's host is ignored, and so is upper case.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum HostPattern {
-    /// All.
+    /// Matches all hosts.
     #[default]
     Any,
-    /// This one, in lower case.
+    /// Matches this host name, in lower case.
     Exact(String),
-    /// Those with one label or more before this domain, in lower case.
+    /// Matches hosts with at least one label before this domain, which is in lower case.
     Subdomains(String),
 }
 
 impl HostPattern {
-    /// Reads `*`, `*.domain` or a host name.
+    /// Parses `*`, `*.domain` or a host name.
     pub fn parse(text: &str) -> Result<HostPattern, PatternError> {
-        let (under, name) = match text.strip_prefix("*.") {
+        let (is_subdomains, name) = match text.strip_prefix("*.") {
             _ if text == "*" => return Ok(HostPattern::Any),
             Some(name) => (true, name),
             None => (false, text),
         };
-        let bracketed = name.starts_with('[') && name.ends_with(']');
-        let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let label = |l: &str| !l.is_empty() && l.len() <= 63;
-        if name.len() > 253 || !(bracketed || name.split('.').all(label) && name.bytes().all(fits)) {
+        let is_bracketed = name.starts_with('[') && name.ends_with(']');
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+        let is_label = |l: &str| !l.is_empty() && l.len() <= 63;
+        if name.len() > 253
+            || !(is_bracketed || name.split('.').all(is_label) && name.bytes().all(is_allowed))
+        {
             return Err(PatternError::InvalidHost(text.into()));
         }
         let name = name.to_ascii_lowercase();
-        Ok(if under { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
+        Ok(if is_subdomains { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
     }
 
-    /// Whether a host in lower case and without its port fits.
+    /// Whether the pattern matches a host, which must be in lower case and without its port.
     pub fn matches(&self, host: &str) -> bool {
         match self {
             HostPattern::Any => true,
@@ -74,8 +77,8 @@
         }
     }
 
-    /// Larger is more specific.
-    fn rank(&self) -> (u8, usize) {
+    /// How specific the pattern is; a larger value is more specific.
+    fn specificity(&self) -> (u8, usize) {
         match self {
             HostPattern::Any => (0, 0),
             HostPattern::Subdomains(domain) => (1, domain.len()),
@@ -87,30 +90,31 @@
 /// A part of a path between two slashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
-    /// These characters, as they are sent.
+    /// Matches exactly these characters, as they are sent.
     Literal(Box<str>),
-    /// Any that are not empty, known by this name.
+    /// A parameter of this name; matches any segment that is not empty.
     Param(Box<str>),
 }
 
-/// Which paths a route is for. Paths are compared as they are sent: nothing is decoded, since an upstream may
-/// decode otherwise.
+/// The paths that a route applies to. Paths are compared as they are sent: nothing is decoded, since an
+/// upstream may decode differently.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PathPattern {
-    /// Its segments.
+    /// The segments of the path, in order.
     pub segments: Vec<Segment>,
-    /// Further segments may follow.
+    /// Whether further segments may follow.
     pub is_prefix: bool,
 }
 
 impl PathPattern {
-    /// Reads `/orders`, `/orders/{id}/lines`; as a prefix, whole segments may follow.
+    /// Parses a path such as `/orders` or `/orders/{id}/lines`. If `prefix` is set, further whole segments
+    /// may follow.
     pub fn parse(text: &str, prefix: bool) -> Result<PathPattern, PatternError> {
         let rest = text.strip_prefix('/').ok_or_else(|| PatternError::MissingLeadingSlash(text.into()))?;
         if text.contains(['?', '#']) || has_dot_segment(text) {
             return Err(PatternError::Unmatchable(text.into()));
         }
-        // A prefix is written with its last slash or without.
+        // A prefix may be written with or without a slash at the end.
         let rest = if prefix { rest.strip_suffix('/').unwrap_or(rest) } else { rest };
         let mut segments: Vec<Segment> = Vec::new();
         let mut names: Vec<&str> = Vec::new();
@@ -120,8 +124,8 @@
                 continue;
             }
             let name = part.strip_prefix('{').and_then(|p| p.strip_suffix('}')).unwrap_or("");
-            let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-');
-            if name.is_empty() || !name.bytes().all(fits) {
+            let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-');
+            if name.is_empty() || !name.bytes().all(is_allowed) {
                 return Err(PatternError::MisplacedBraces(part.into()));
             }
             if names.contains(&name) {
@@ -139,7 +143,7 @@
         Ok(PathPattern { segments, is_prefix: prefix })
     }
 
-    /// The names of its parameters, in order.
+    /// The names of the path's parameters, in order.
     pub fn params(&self) -> impl Iterator<Item = &str> {
         self.segments.iter().filter_map(|s| match s {
             Segment::Param(name) => Some(&**name),
@@ -147,14 +151,14 @@
         })
     }
 
-    /// Whether a path fits; the plain form of what the table does.
+    /// Whether the pattern matches a path. This is the simple equivalent of the look-up in a route table.
     pub fn matches(&self, path: &str) -> bool {
         let Some(mut rest) = first_segment(path) else { return false };
         for segment in &self.segments {
             let Some(text) = rest else { return false };
             let (part, tail) = next_segment(text);
             match segment {
-                Segment::Literal(l) if **l == *part => {}
+                Segment::Literal(literal) if **literal == *part => {}
                 Segment::Param(_) if !part.is_empty() => {}
                 _ => return false,
             }
@@ -163,24 +167,26 @@
         self.is_prefix || rest.is_none()
     }
 
-    /// More specific is greater: from left to right, a literal before a parameter before the end of a prefix,
-    /// and a whole path before a prefix.
+    /// Compares two patterns; the more specific one is greater. Segments are compared from left to right: a
+    /// literal is more specific than a parameter, a parameter more than the end of a path, and the end of a
+    /// path more than the end of a prefix.
     pub fn compare_specificity(&self, other: &PathPattern) -> Ordering {
-        let rank = |p: &PathPattern, at: usize| match p.segments.get(at) {
+        let rank = |p: &PathPattern, index: usize| match p.segments.get(index) {
             Some(Segment::Literal(_)) => 3,
             Some(Segment::Param(_)) => 2,
             None if !p.is_prefix => 1,
             None => 0,
         };
-        let most = self.segments.len().max(other.segments.len());
-        (0..=most)
-            .map(|at| rank(self, at).cmp(&rank(other, at)))
+        let longest = self.segments.len().max(other.segments.len());
+        (0..=longest)
+            .map(|index| rank(self, index).cmp(&rank(other, index)))
             .find(|o| o.is_ne())
             .unwrap_or(Ordering::Equal)
     }
 }
 
-/// Whether a path has a `.` or `..` segment, in whatever spelling: who resolves it finds another path.
+/// Whether a path has a `.` or `..` segment, percent-encoded or not: a server that resolves it gets a
+/// different path.
 pub fn has_dot_segment(path: &str) -> bool {
     path.split('/').any(|segment| {
         let mut rest = segment;
@@ -197,12 +203,12 @@
     })
 }
 
-/// What follows a path's first slash; `Some(None)`: nothing does.
+/// Returns what follows a path's first slash; `Some(None)` if nothing does, `None` if there is no such slash.
 pub(crate) fn first_segment(path: &str) -> Option<Option<&str>> {
     path.strip_prefix('/').map(|rest| Some(rest).filter(|r| !r.is_empty()))
 }
 
-/// The next segment, and what follows its slash.
+/// Splits off the next segment, and returns it with what follows its slash, if any.
 pub(crate) fn next_segment(rest: &str) -> (&str, Option<&str>) {
     match rest.split_once('/') {
         Some((part, tail)) => (part, Some(tail)),
@@ -210,31 +216,31 @@
     }
 }
 
-/// What a header's or a query parameter's value must be.
+/// What the value of a header or query parameter must be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueTest {
-    /// There.
+    /// The field is present, with any value.
     Present,
-    /// Not there.
+    /// The field is absent.
     Absent,
-    /// Exactly this.
+    /// The value equals this text.
     Equals(String),
-    /// This, and then anything.
+    /// The value begins with this text.
     StartsWith(String),
 }
 
 impl ValueTest {
-    /// Whether a value passes.
+    /// Whether a value passes the test; `None` stands for an absent field.
     pub fn passes(&self, value: Option<&str>) -> bool {
         match (self, value) {
             (ValueTest::Present, v) => v.is_some(),
             (ValueTest::Absent, v) => v.is_none(),
-            (ValueTest::Equals(want), v) => v == Some(want.as_str()),
-            (ValueTest::StartsWith(want), v) => v.is_some_and(|v| v.starts_with(want.as_str())),
+            (ValueTest::Equals(expected), v) => v == Some(expected.as_str()),
+            (ValueTest::StartsWith(expected), v) => v.is_some_and(|v| v.starts_with(expected.as_str())),
         }
     }
 
-    /// Whether no value passes both.
+    /// Whether no value passes both tests.
     fn excludes(&self, other: &ValueTest) -> bool {
         match (self, other) {
             (ValueTest::Absent, ValueTest::Absent) => false,
@@ -250,16 +256,16 @@
     }
 }
 
-/// A test of a named field.
+/// A test of a header or query parameter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldTest {
-    /// The field; a header's in lower case.
+    /// The name of the field; header names are in lower case.
     pub name: String,
-    /// The test.
+    /// The test that the value of the field must pass.
     pub test: ValueTest,
 }
 
-/// The headers of a request, by name without regard to case.
+/// Access to the headers of a request; names are compared without regard to case.
 pub trait Headers {
     /// The value of the first header of this name.
     fn header(&self, name: &str) -> Option<&str>;
@@ -271,18 +277,18 @@
     }
 }
 
-/// What routing looks at in a request.
+/// The parts of a request that routing uses.
 #[derive(Clone, Copy)]
 pub struct RequestView<'a> {
-    /// Its method.
+    /// The method, as sent.
     pub method: &'a str,
-    /// Its host, as sent.
+    /// The host, as sent.
     pub host: &'a str,
-    /// Its path, as sent, without the query.
+    /// The path, as sent, without the query.
     pub path: &'a str,
-    /// Its query, as sent.
+    /// The query, as sent, without the question mark.
     pub query: &'a str,
-    /// Its headers.
+    /// The headers.
     pub headers: &'a dyn Headers,
 }
 
@@ -293,42 +299,43 @@
     }
 }
 
-/// All that a route matches by.
+/// Everything that a request must match to get to a route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Matcher {
-    /// The hosts.
+    /// The hosts that match.
     pub host: HostPattern,
-    /// The paths.
+    /// The paths that match.
     pub path: PathPattern,
-    /// The methods; empty: all.
+    /// The methods that match; empty means all.
     pub methods: Vec<String>,
-    /// What the headers must be.
+    /// The tests that the headers must pass.
     pub headers: Vec<FieldTest>,
-    /// What the query must be.
+    /// The tests that the query parameters must pass.
     pub query: Vec<FieldTest>,
 }
 
 impl Matcher {
-    /// Whether method, headers and query fit.
-    pub fn matches_fields(&self, s: &RequestView<'_>) -> bool {
-        (self.methods.is_empty() || self.methods.iter().any(|m| m == s.method))
-            && self.headers.iter().all(|t| t.test.passes(s.headers.header(&t.name)))
-            && self.query.iter().all(|t| t.test.passes(s.query_value(&t.name).as_deref()))
+    /// Whether the method, headers and query of a request match.
+    pub fn matches_fields(&self, request: &RequestView<'_>) -> bool {
+        (self.methods.is_empty() || self.methods.iter().any(|m| m == request.method))
+            && self.headers.iter().all(|t| t.test.passes(request.headers.header(&t.name)))
+            && self.query.iter().all(|t| t.test.passes(request.query_value(&t.name).as_deref()))
     }
 
-    /// How specific method, headers and query are; larger is more.
+    /// How specific the conditions on method, headers and query are; a larger value is more specific.
     pub fn field_specificity(&self) -> (bool, usize) {
         (!self.methods.is_empty(), self.headers.len() + self.query.len())
     }
 
-    /// More specific is greater: host first, then path, then method, then the number of tests.
+    /// Compares two matchers; the more specific one is greater. The host counts first, then the path, then
+    /// whether there are methods, then the number of tests.
     pub fn compare_specificity(&self, other: &Matcher) -> Ordering {
-        let host = self.host.rank().cmp(&other.host.rank());
+        let host = self.host.specificity().cmp(&other.host.specificity());
         let path = || self.path.compare_specificity(&other.path);
         host.then_with(path).then_with(|| self.field_specificity().cmp(&other.field_specificity()))
     }
 
-    /// Whether no request fits both by method, headers and query.
+    /// Whether no request can match both by method, headers and query.
     pub fn excludes(&self, other: &Matcher) -> bool {
         let methods = !self.methods.is_empty()
             && !other.methods.is_empty()
--- a/crates/routing/src/pins.rs
+++ b/crates/routing/src/pins.rs
@@ -1,86 +1,88 @@
-//! Which pool a keyed request's first attempt went to, for as long as its key's window lasts.
+//! The pool that a keyed request's first attempt was sent to, for as long as the window of its key lasts.
 //!
-//! Only the nodes of one cell of one pool drop a repeat. Where weights change, a pool is left or a client asks
-//! again, the key's next request must go to that pool all the same, and nowhere once it is gone.
+//! Only the nodes of the same cell of the same pool drop a repeat. If weights change, a pool fails over or a
+//! client asks again, the key's next request must still go to that pool, and to no pool at all once that pool
+//! has been removed.
 
 use garnettally_model::Micros;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The keys whose windows are open. `P` names a pool.
+/// The pool of each key whose window has not ended. `P` identifies a pool.
 pub struct Pins<P> {
     by_key: FxHashMap<u64, Pin<P>>,
-    ends: BinaryHeap<Reverse<(Micros, u64)>>,
-    most: usize,
-    next: u64,
+    expiries: BinaryHeap<Reverse<(Micros, u64)>>,
+    capacity: usize,
+    last_number: u64,
 }
 
 struct Pin<P> {
     pool: P,
     until: Micros,
-    /// Attempts out, and those that may have run: while there are any, the pin holds.
+    /// Number of attempts that are in flight or may have run: the key stays pinned while there are any.
     attempts: u32,
-    /// Told apart from a later pin of the same key.
+    /// Distinguishes this pin from a later one of the same key.
     number: u64,
 }
 
-/// No pin is free: a key that can't be remembered must not be sent where a repeat could go elsewhere.
+/// All pins are in use: a key that can't be recorded must not be sent where a repeat could go elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("all pins of keyed requests are in use")]
 pub struct PinsFull;
 
 impl<P: Copy + PartialEq> Pins<P> {
-    /// Room for so many keys.
-    pub fn new(most: usize) -> Pins<P> {
-        Pins { by_key: FxHashMap::default(), ends: BinaryHeap::new(), most, next: 0 }
+    /// Creates a store for up to `capacity` keys.
+    pub fn new(capacity: usize) -> Pins<P> {
+        Pins { by_key: FxHashMap::default(), expiries: BinaryHeap::new(), capacity, last_number: 0 }
     }
 
-    /// The number of keys held.
+    /// The number of keys that are stored.
     pub fn count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no new key can be taken.
+    /// Whether no new key can be stored.
     pub fn is_full(&mut self, now: Micros) -> bool {
         self.expire(now);
-        self.by_key.len() >= self.most
+        self.by_key.len() >= self.capacity
     }
 
-    /// Changes the room; keys that are held stay.
-    pub fn set_capacity(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the capacity; stored keys stay.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
-    /// The pool that a key is bound to, and until when.
+    /// The pool that a key is pinned to, and the end of its window.
     pub fn get(&self, now: Micros, key: u64) -> Option<(P, Micros)> {
         self.by_key.get(&key).filter(|p| p.until > now).map(|p| (p.pool, p.until))
     }
 
-    /// Notes an attempt that is about to be sent. The window is that of the first attempt that may have run: a
-    /// later one does not lengthen it. The number names the pin to [`Pins::attempt_never_ran`].
+    /// Records an attempt that is about to be sent. The window is that of the first attempt that may have
+    /// run: later attempts do not lengthen it. Returns the number of the pin, to be passed to
+    /// [`Pins::attempt_never_ran`].
     pub fn record_attempt(&mut self, now: Micros, key: u64, pool: P, until: Micros) -> Result<u64, PinsFull> {
         self.expire(now);
         if let Some(pin) = self.by_key.get_mut(&key) {
             pin.attempts = pin.attempts.saturating_add(1);
             return Ok(pin.number);
         }
-        if self.by_key.len() >= self.most {
+        if self.by_key.len() >= self.capacity {
             return Err(PinsFull);
         }
-        self.next += 1;
-        self.by_key.insert(key, Pin { pool, until, attempts: 1, number: self.next });
-        self.ends.push(Reverse((until, key)));
-        Ok(self.next)
+        self.last_number += 1;
+        self.by_key.insert(key, Pin { pool, until, attempts: 1, number: self.last_number });
+        self.expiries.push(Reverse((until, key)));
+        Ok(self.last_number)
     }
 
-    /// A pool has given way to one with the same nodes: its keys are bound to that one.
+    /// Pins the keys of a pool to another pool, which replaces it and has the same nodes.
     pub fn rebind(&mut self, from: P, to: P) {
         self.by_key.values_mut().filter(|p| p.pool == from).for_each(|p| p.pool = to);
     }
 
-    /// An attempt that was noted under this number has ended, and never ran. One that outlived its window must not
-    /// give up the pin of a later request.
+    /// Records that an attempt with this pin number has ended without having run. An attempt that outlived
+    /// its window must not remove the pin of a later request.
     pub fn attempt_never_ran(&mut self, key: u64, number: u64) {
         if let Some(pin) = self.by_key.get_mut(&key).filter(|p| p.number == number) {
             pin.attempts = pin.attempts.saturating_sub(1);
@@ -88,17 +90,18 @@
                 self.by_key.remove(&key);
             }
         }
-        // What was given up early leaves its end behind; many of those are swept at once.
-        if self.ends.len() > 2 * self.by_key.len() + 64 {
+        // A pin that was removed early leaves its entry in the heap; the entries are removed once there are
+        // many.
+        if self.expiries.len() > 2 * self.by_key.len() + 64 {
             let by_key = &self.by_key;
-            self.ends.retain(|Reverse((until, key))| by_key.get(key).is_some_and(|p| p.until == *until));
+            self.expiries.retain(|Reverse((until, key))| by_key.get(key).is_some_and(|p| p.until == *until));
         }
     }
 
-    /// Lets go of the keys whose windows have ended.
+    /// Removes the keys whose windows have ended.
     pub fn expire(&mut self, now: Micros) {
-        while let Some(&Reverse((until, key))) = self.ends.peek().filter(|e| e.0 .0 <= now) {
-            self.ends.pop();
+        while let Some(&Reverse((until, key))) = self.expiries.peek().filter(|e| e.0 .0 <= now) {
+            self.expiries.pop();
             if self.by_key.get(&key).is_some_and(|p| p.until == until) {
                 self.by_key.remove(&key);
             }
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,4 +1,4 @@
-//! What a matched route says of its request.
+//! What a matched route determines for its request.
 
 use crate::pattern::{Matcher, RequestView};
 use crate::split::Split;
@@ -9,49 +9,57 @@
 /// Where a value is taken from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueSource {
-    /// This text.
+    /// This fixed text.
     Fixed(String),
     /// The first header of this name.
     Header(String),
     /// The first query parameter of this name.
     Query(String),
-    /// The parameter at this place of the path's template.
+    /// The parameter with this index in the path's template.
     Param(usize),
 }
 
 impl ValueSource {
-    /// The value in a request; empty ones count as absent.
-    pub fn extract<'a>(&'a self, s: &'a RequestView<'_>, params: &PathParams<'a>) -> Option<Cow<'a, str>> {
+    /// The value for a request; an empty value counts as absent.
+    pub fn extract<'a>(
+        &'a self,
+        request: &'a RequestView<'_>,
+        params: &PathParams<'a>,
+    ) -> Option<Cow<'a, str>> {
         let value = match self {
             ValueSource::Fixed(text) => Some(Cow::Borrowed(text.as_str())),
-            ValueSource::Header(name) => s.headers.header(name).map(Cow::Borrowed),
-            ValueSource::Query(name) => s.query_value(name),
-            ValueSource::Param(at) => params.get(*at).map(Cow::Borrowed),
+            ValueSource::Header(name) => request.headers.header(name).map(Cow::Borrowed),
+            ValueSource::Query(name) => request.query_value(name),
+            ValueSource::Param(index) => params.get(*index).map(Cow::Borrowed),
         };
         value.filter(|v| !v.is_empty())
     }
 }
 
-/// How long a request may take.
+/// How the deadline of a request is determined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeadlineRule {
-    /// Where its client says so, in seconds with decimals.
+    /// Where the client sends the deadline, in seconds with decimals.
     pub source: Option<ValueSource>,
-    /// Without a word of the client's.
+    /// The deadline if the client sends none.
     pub default: Micros,
-    /// At the most, whatever the client says.
+    /// The longest deadline, whatever the client sends.
     pub ceiling: Micros,
 }
 
-/// A deadline that is no number of seconds above 0.
+/// The deadline sent by the client is not a number of seconds above 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the deadline is no number of seconds above 0")]
+#[error("the deadline is not a number of seconds above 0")]
 pub struct InvalidDeadline;
 
 impl DeadlineRule {
-    /// The time that a request has.
-    pub fn resolve(&self, s: &RequestView<'_>, params: &PathParams<'_>) -> Result<Micros, InvalidDeadline> {
-        let Some(text) = self.source.as_ref().and_then(|source| source.extract(s, params)) else {
+    /// The time that a request has until its deadline.
+    pub fn resolve(
+        &self,
+        request: &RequestView<'_>,
+        params: &PathParams<'_>,
+    ) -> Result<Micros, InvalidDeadline> {
+        let Some(text) = self.source.as_ref().and_then(|source| source.extract(request, params)) else {
             return Ok(self.default.min(self.ceiling));
         };
         let seconds =
@@ -61,19 +69,19 @@
     }
 }
 
-/// Which pools a route's requests go to, each by its place in the configuration.
+/// The pools that a route's requests go to, given by their indices in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolChoice {
-    /// This one.
+    /// All requests go to this pool.
     Single(usize),
-    /// Several by weight: a key always goes to the same one.
+    /// Requests are split over several pools by weight; a key always goes to the same pool.
     Split(Split),
-    /// The first of them that is fit.
+    /// Requests go to the first pool of this list that has enough healthy nodes.
     Failover(Vec<usize>),
 }
 
 impl PoolChoice {
-    /// All of them.
+    /// The indices of all pools of the route.
     pub fn pool_indices(&self) -> Vec<usize> {
         match self {
             PoolChoice::Single(pool) => vec![*pool],
@@ -82,46 +90,47 @@
         }
     }
 
-    /// Whether a repeat of a key could go to another pool than its first attempt.
+    /// Whether a repeat of a key could go to another pool than its first attempt did.
     pub fn has_several(&self) -> bool {
         !matches!(self, PoolChoice::Single(_))
     }
 }
 
-/// A copy of some requests that is sent to another pool, whose answers nobody sees.
+/// Copies a part of the requests to another pool, whose answers are discarded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mirror {
-    /// The shadow pool.
+    /// The index of the pool that receives the copies.
     pub pool: usize,
-    /// The part of the requests, from 0 to 1.
+    /// The part of the requests that are copied, from 0 to 1.
     pub share: f64,
 }
 
 impl Mirror {
-    /// Whether a request is copied; decided by its number, so that no state is kept.
+    /// Whether a request is copied. The decision depends on the number of the request alone, so no state is
+    /// needed.
     pub fn selects(&self, number: u64) -> bool {
         crate::unit_interval(crate::stable_hash(2, &number.to_le_bytes())) < self.share
     }
 }
 
-/// One route.
+/// A route: what it matches, and how the requests that match are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route in the configuration.
     pub name: String,
-    /// What it matches.
+    /// The requests that the route matches.
     pub matcher: Matcher,
-    /// The class of its requests.
+    /// The class of the route's requests.
     pub class: ClassId,
-    /// Where their tenant is told.
+    /// Where a request's tenant is read from.
     pub tenant: Option<ValueSource>,
-    /// Where their key is told.
+    /// Where a request's key is read from.
     pub key: Option<ValueSource>,
-    /// How long they may take.
+    /// How the deadline of a request is determined.
     pub deadline: DeadlineRule,
-    /// Where they go.
+    /// The pools that requests go to.
     pub pools: PoolChoice,
-    /// Where copies of them go.
+    /// The pool that copies of requests go to, and their part.
     pub mirror: Option<Mirror>,
 }
 
--- a/crates/routing/src/split_tests.rs
+++ b/crates/routing/src/split_tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the weighted split: shares follow the weights, and few keys move when they change.
+//! Tests of the weighted split: the keys of each part follow the weights, and few keys move when weights
+//! change.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn shares_follow_the_weights() {
+fn parts_get_keys_in_proportion_to_their_weights() {
     let s = split(&[1.0, 0.0, 3.0]);
     let mut got = [0.0; 3];
     for key in 0..40_000 {
@@ -21,9 +22,9 @@
 }
 
 proptest! {
-    /// Keys leave only what lost weight, and go only to what gained it.
+    /// Keys leave only a part that lost weight, and go only to a part that gained weight.
     #[test]
-    fn a_changed_weight_moves_keys_from_or_to_that_part_alone(
+    fn a_changed_weight_moves_keys_only_from_or_to_that_part(
         weights in prop::collection::vec(0.0..10.0f64, 2..6),
         at in 0usize..6,
         to in 0.0..10.0f64,
--- a/crates/routing/src/table_tests.rs
+++ b/crates/routing/src/table_tests.rs
@@ -1,9 +1,10 @@
-//! Tests of the table of routes: precedence, refused patterns, and look-ups against a plain search.
+//! Tests of the table of routes: precedence, refused patterns, and look-ups compared with a search of all
+//! routes.
 
 use super::*;
 use proptest::prelude::*;
 
-fn subject<'a>(method: &'a str, host: &'a str, path: &'a str, query: &'a str) -> RequestView<'a> {
+fn request<'a>(method: &'a str, host: &'a str, path: &'a str, query: &'a str) -> RequestView<'a> {
     const NONE: &[(String, String)] = &[];
     struct None;
     impl Headers for None {
@@ -28,8 +29,8 @@
 }
 
 #[test]
-fn the_most_specific_route_wins() {
-    let t = table(&[
+fn the_most_specific_matching_route_wins() {
+    let table = table(&[
         matcher("*", "/", true, &[]),
         matcher("*", "/orders/{id}", false, &[]),
         matcher("*", "/orders/new", false, &["POST"]),
@@ -37,22 +38,26 @@
         matcher("a.example.org", "/orders/{id}/lines/{line}", false, &[]),
     ])
     .unwrap_or_else(|_| panic!());
-    let route = |m, h, p| t.find(&subject(m, h, p, "")).map(|m| m.route_index);
+    let route = |m, h, p| table.find(&request(m, h, p, "")).map(|m| m.route_index);
     assert_eq!(route("GET", "x", "/"), Some(0));
-    assert_eq!(route("GET", "x", "/orders/new"), Some(1), "a literal that does not fit falls back");
+    assert_eq!(
+        route("GET", "x", "/orders/new"),
+        Some(1),
+        "a literal whose route does not match falls back to the parameter"
+    );
     assert_eq!(route("POST", "x", "/orders/new"), Some(2));
-    assert_eq!(route("POST", "x", "/orders/new/"), Some(0), "a slash more is another path");
+    assert_eq!(route("POST", "x", "/orders/new/"), Some(0), "a path with one more slash is a different path");
     assert_eq!(route("GET", "B.Example.org:80", "/orders/7"), Some(3));
     assert_eq!(route("GET", "example.org", "/orders/7"), Some(1), "a domain is not under itself");
-    assert_eq!(route("GET", "a.example.org", "/ordersx"), Some(0), "prefixes are of whole segments");
+    assert_eq!(route("GET", "a.example.org", "/ordersx"), Some(0), "a prefix covers whole segments only");
     assert_eq!(route("GET", "a.example.org", "/orders/%2E./x"), None);
-    let found = t.find(&subject("GET", "a.example.org", "/orders/7/lines/b", "")).unwrap();
+    let found = table.find(&request("GET", "a.example.org", "/orders/7/lines/b", "")).unwrap();
     assert_eq!((found.route_index, found.params.get(0), found.params.get(1)), (4, Some("7"), Some("b")));
     assert_eq!(found.params.get(2), None);
 }
 
 #[test]
-fn what_is_ambiguous_is_refused_with_both_names() {
+fn ambiguous_routes_are_refused_with_both_names() {
     let conflict = |routes: &[Matcher]| table(routes).err().unwrap_or_default();
     let a = matcher("*", "/a/{x}", false, &["GET", "POST"]);
     let b = matcher("*", "/a/{y}", false, &["POST"]);
@@ -73,15 +78,15 @@
 }
 
 #[test]
-fn patterns_that_can_never_fit_are_refused() {
-    let bad = |text: &str| PathPattern::parse(text, false).unwrap_err();
-    assert_eq!(bad("a"), PatternError::MissingLeadingSlash("a".into()));
-    assert_eq!(bad("/a/{x}/{x}"), PatternError::DuplicateParam("x".into()));
-    assert_eq!(bad("/a/x{y}"), PatternError::MisplacedBraces("x{y}".into()));
-    assert_eq!(bad("/a/../b"), PatternError::Unmatchable("/a/../b".into()));
-    assert_eq!(bad("/a?b"), PatternError::Unmatchable("/a?b".into()));
+fn patterns_that_can_never_match_are_refused() {
+    let error = |text: &str| PathPattern::parse(text, false).unwrap_err();
+    assert_eq!(error("a"), PatternError::MissingLeadingSlash("a".into()));
+    assert_eq!(error("/a/{x}/{x}"), PatternError::DuplicateParam("x".into()));
+    assert_eq!(error("/a/x{y}"), PatternError::MisplacedBraces("x{y}".into()));
+    assert_eq!(error("/a/../b"), PatternError::Unmatchable("/a/../b".into()));
+    assert_eq!(error("/a?b"), PatternError::Unmatchable("/a?b".into()));
     assert_eq!(
-        bad("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}"),
+        error("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}"),
         PatternError::TooManyParams("/{a}/{b}/{c}/{d}/{e}/{f}/{g}/{h}/{i}".into())
     );
     assert!(HostPattern::parse("a..b").is_err() && HostPattern::parse("").is_err());
@@ -120,9 +125,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Against the plain way: every route is tried, and the greatest of those that fit wins.
+    /// Compares the table with a search that tries every route and takes the most specific one that matches.
     #[test]
-    fn the_trie_finds_what_trying_every_route_finds(
+    fn the_table_finds_the_same_route_as_trying_every_route(
         all in prop::collection::vec(any_matcher(), 1..12),
         requests in prop::collection::vec((
             prop::sample::select(vec!["GET", "POST", "DELETE"]),
@@ -131,7 +136,7 @@
             prop::sample::select(vec!["", "q=1", "q=12&q=0", "z=1", "q"]),
         ), 20),
     ) {
-        // Those that clash with one before them are left out, as the operator would have to.
+        // Routes that conflict with an earlier one are left out, as the operator would have to do.
         let mut kept: Vec<Matcher> = Vec::new();
         for m in all {
             kept.push(m);
@@ -139,25 +144,26 @@
                 kept.pop();
             }
         }
-        let t = table(&kept).unwrap_or_else(|_| unreachable!());
+        let table = table(&kept).unwrap_or_else(|_| unreachable!());
         for (method, host, path, query) in requests {
             let path = format!("/{}", path.join("/"));
-            let s = subject(method, host, &path, query);
+            let view = request(method, host, &path, query);
             let lower = host.to_lowercase();
             let name = lower.split(':').next().unwrap();
-            let fits = |m: &Matcher| m.host.matches(name) && m.path.matches(&path) && m.matches_fields(&s);
-            let plain = (0..kept.len()).filter(|&i| fits(&kept[i]));
-            let plain = plain.max_by(|&i, &j| kept[i].compare_specificity(&kept[j]));
-            let found = t.find(&s);
-            prop_assert_eq!(found.map(|f| f.route_index), plain, "{} {} {}", host, path, query);
+            let is_match =
+                |m: &Matcher| m.host.matches(name) && m.path.matches(&path) && m.matches_fields(&view);
+            let expected = (0..kept.len()).filter(|&i| is_match(&kept[i]));
+            let expected = expected.max_by(|&i, &j| kept[i].compare_specificity(&kept[j]));
+            let found = table.find(&view);
+            prop_assert_eq!(found.map(|f| f.route_index), expected, "{} {} {}", host, path, query);
         }
     }
 
-    /// No input makes a pattern or a look-up panic.
+    /// No text makes the parsing of a pattern or a look-up panic.
     #[test]
-    fn odd_text_does_no_harm(text in "\\PC{0,40}", host in "\\PC{0,300}") {
+    fn arbitrary_text_causes_no_panic(text in "\\PC{0,40}", host in "\\PC{0,300}") {
         let _ = (HostPattern::parse(&text), PathPattern::parse(&text, true));
-        let t = table(&[matcher("*", "/", true, &[])]).unwrap_or_else(|_| unreachable!());
-        let _ = t.find(&subject(&text, &host, &text, &text));
+        let table = table(&[matcher("*", "/", true, &[])]).unwrap_or_else(|_| unreachable!());
+        let _ = table.find(&request(&text, &host, &text, &text));
     }
 }
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Sets for how long a list may be used without a watch, counted from the last evidence
-    /// that it was current.
+    /// Sets for how long a list may be used without a watch, counted from the last evidence that it was
+    /// current.
     pub fn with_list_lease(self, list_lease: Option<Micros>) -> Subscription {
         Subscription { list_lease, ..self }
     }
--- a/crates/subscription/src/pace.rs
+++ b/crates/subscription/src/pace.rs
@@ -22,9 +22,9 @@
 /// process that calls within 4 s of the registry's return is answered in time.
 const MIN_CYCLE: Micros = Micros(4_000_000);
 
-/// The first call, and the call after a lost watch, are spread over this time plus the time that the calls
-/// of all instances take. A fleet whose calls take no longer than this is small (18 instances) and replaces a lost watch
-/// within about a second.
+/// The first call, and the call after a lost watch, are spread over this time plus the time that the calls of
+/// all instances take. A fleet whose calls take no longer than this is small (18 instances) and replaces a
+/// lost watch within about a second.
 const FIRST_SPREAD: Micros = Micros(400_000);
 
 /// Calls may wait this long for their answers, so the last call can be made this much earlier than it must be
--- a/crates/subscription/tests/pace.rs
+++ b/crates/subscription/tests/pace.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Guards against a small fleet that waits for seconds though its registry has capacity: even if only one call
-/// in four is answered, that answer has to come before the change it reports becomes binding.
+/// Guards against a small fleet that waits for seconds though its registry has capacity: even if only one
+/// call in four is answered, that answer has to come before the change it reports becomes binding.
 #[test]
 fn a_small_fleet_calls_every_second_and_every_four_seconds_under_overload() {
     let mut subscription = shared(SMALL, 3);
