--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -1,200 +1,226 @@
-//! The checks and defaults of `[fleet]`.
+//! The checks and defaults of the table `[fleet]` in the operator's file.
 
-use super::check::Check;
+use super::check::Checker;
 use super::format::{self, File};
 use super::problems::KeyPath;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The link to the other balancers.
+/// The link of this member to the other balancers of its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where datagrams are taken.
+    /// The UDP address on which this member receives datagrams.
     pub address: SocketAddr,
-    /// Where peers reach this member.
+    /// The address at which peers reach this member.
     pub advertise: SocketAddr,
-    /// Its name.
+    /// The name of this member, which no other member has.
     pub name: String,
-    /// Its zone; may be empty.
+    /// The zone of this member; may be empty.
     pub zone: String,
-    /// Members that let it in.
+    /// Addresses of members that are contacted to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Its keys; without them all addresses are loopback.
+    /// The file of this member's keys; without one, all addresses must be loopback.
     pub key_file: Option<PathBuf>,
-    /// How often a member is probed.
+    /// The time between two probes; each probes one member chosen at random.
     pub probe_period: Duration,
-    /// After this a silent member is taken to be dead,
+    /// A suspected member that does not respond is taken to be dead after this time.
     pub suspicion_timeout: Duration,
-    /// and after this it is forgotten.
+    /// A dead member is forgotten after this time.
     pub forget_after: Duration,
-    /// How often peers are asked for news.
+    /// The time between two rounds in which peers are asked for updates.
     pub ask_every: Duration,
-    /// How many, beside one by chance.
+    /// The number of peers asked in each round, beside one chosen at random.
     pub ask_peers: usize,
-    /// When news is void.
+    /// Reports of peers that are older than this are no longer used.
     pub max_age: Duration,
-    /// Members that are known at the most.
+    /// The most members that are tracked.
     pub max_members: usize,
-    /// Pieces of news that are held at the most.
+    /// The most reports of peers that are stored.
     pub max_facts: usize,
-    /// The fleet's least size,
+    /// The fleet is assumed to have at least this many members.
     pub size_floor: u32,
-    /// and for how long a larger one is held.
+    /// The fleet is also assumed to have at least as many members as were alive at once within this time.
     pub size_hold: Duration,
-    /// Bytes a second that are sent at the most.
+    /// The most bytes that are sent per second.
     pub max_send_bytes_per_second: u64,
-    /// Datagrams a second that are looked at at the most.
+    /// The most datagrams that are processed per second; further ones are dropped.
     pub max_receive_datagrams_per_second: u64,
-    /// Work that one member does on behalf of all.
+    /// The fleet's duties, each of which one member does on behalf of all; `None` if there are none.
     pub duties: Option<Duties>,
 }
 
-/// The fleet's duties, and who decides about them.
+/// The fleet's duties, and the members that vote on their owners.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Duties {
     /// The names of the voters, numbered from 1 in this order.
     pub voters: Vec<String>,
-    /// Where this member's votes are stored, if it is a voter.
+    /// The folder where this member's votes are stored, if it is a voter.
     pub folder: Option<PathBuf>,
-    /// For how long a voter's promise holds.
+    /// How long a voter's promise to an owner is valid.
     pub lease: Duration,
-    /// Duties whose work others do.
+    /// The names of the duties whose work is done outside the balancers.
     pub names: Vec<String>,
-    /// The duty of telling a sink all members' figures.
+    /// The settings of the duty that exports the figures of all members to a sink.
     pub export: Option<Export>,
 }
 
-/// Where all members' figures are told.
+/// The sink to which the figures of all members are exported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Export {
-    /// The sink.
+    /// The address of the sink.
     pub address: SocketAddr,
-    /// The path of its POST.
+    /// The path of the POST requests.
     pub path: String,
-    /// How often.
+    /// The time between two exports.
     pub interval: Duration,
 }
 
-/// The name of the duty that tells a sink.
-const EXPORT: &str = "export";
+/// The name of the duty that exports figures to a sink.
+const EXPORT_DUTY: &str = "export";
 
 impl Duties {
-    /// The names of all duties.
+    /// The names of all duties: those in `names`, then the export if there is one.
     pub fn all_names(&self) -> Vec<String> {
-        let export = self.export.iter().map(|_| EXPORT.to_string());
+        let export = self.export.iter().map(|_| EXPORT_DUTY.to_string());
         self.names.iter().cloned().chain(export).collect()
     }
 }
 
-/// News has to pass several members before it is void.
-const ASKINGS: u32 = 10;
+/// The least number of rounds of asking within `max_age`: a report has to pass through several members before
+/// it expires.
+const MIN_ROUNDS_PER_MAX_AGE: u32 = 10;
 
-impl Check<'_, '_> {
-    pub(super) fn fleet(&mut self, file: &File, f: &format::Fleet) -> Fleet {
-        let top = KeyPath::default();
-        let key = top.key("fleet");
+impl Checker<'_, '_> {
+    pub(super) fn fleet(&mut self, file: &File, spec: &format::Fleet) -> Fleet {
+        let root = KeyPath::default();
+        let key = root.key("fleet");
         let (ms, second) = (Duration::from_millis(1), Duration::from_secs(1));
-        let address = self.address(&key.key("address"), &f.address);
-        let advertise = match &f.advertise {
+        let address = self.address(&key.key("address"), &spec.address);
+        let advertise = match &spec.advertise {
             Some(text) => self.address(&key.key("advertise"), text),
             None => address,
         };
         if advertise.ip().is_unspecified() {
             let what = format!("fleet.address {address} is no address that peers can send to");
-            self.note(&key.key("advertise"), &what, "give fleet.advertise the one that reaches this member");
+            self.report_str(
+                &key.key("advertise"),
+                &what,
+                "give fleet.advertise the one that reaches this member",
+            );
         }
-        if f.advertise.is_some() && advertise.port() == 0 {
-            self.note(&key.key("advertise"), "has port 0", "give it the port that reaches this member");
+        if spec.advertise.is_some() && advertise.port() == 0 {
+            self.report_str(&key.key("advertise"), "has port 0", "give it the port that reaches this member");
         }
         let seeds: Vec<SocketAddr> =
-            f.seeds.iter().enumerate().map(|(i, s)| self.address(&key.key("seeds").index(i), s)).collect();
-        if f.key_file.is_none() {
+            spec.seeds.iter().enumerate().map(|(i, s)| self.address(&key.key("seeds").index(i), s)).collect();
+        if spec.key_file.is_none() {
             let all = [("address", address), ("advertise", advertise)];
             let seeds = seeds.iter().map(|s| ("seeds", *s));
-            for (name, a) in all.into_iter().chain(seeds) {
-                let told = name != "advertise" || f.advertise.is_some();
-                if told && !a.ip().is_loopback() {
-                    let what = format!("fleet.{name} {a} is not loopback, and fleet.key_file is missing");
-                    self.note(&key.key(name), &what, "give fleet.key_file: without keys anybody could join");
+            for (name, address_given) in all.into_iter().chain(seeds) {
+                let is_written = name != "advertise" || spec.advertise.is_some();
+                if is_written && !address_given.ip().is_loopback() {
+                    let what = format!(
+                        "fleet.{name} {address_given} is not loopback, and fleet.key_file is missing"
+                    );
+                    self.report_str(
+                        &key.key(name),
+                        &what,
+                        "give fleet.key_file: without keys anybody could join",
+                    );
                 }
             }
         }
-        let name = f.name.as_ref().or(file.name.as_ref());
+        let name = spec.name.as_ref().or(file.name.as_ref());
         if name.is_none() {
-            self.note(
+            self.report_str(
                 &key.key("name"),
                 "fleet.name and name are both missing",
                 "give this member a name of its own",
             );
         }
-        for (at, text) in [("name", name), ("zone", f.zone.as_ref())] {
+        for (key_name, text) in [("name", name), ("zone", spec.zone.as_ref())] {
             if text.is_some_and(|t| {
-                t.len() > 64 || (t.is_empty() && at == "name") || t.chars().any(char::is_control)
+                t.len() > 64 || (t.is_empty() && key_name == "name") || t.chars().any(char::is_control)
             }) {
-                self.note(
-                    &key.key(at),
+                self.report_str(
+                    &key.key(key_name),
                     "is empty, longer than 64 bytes, or has control characters",
                     "use 1 to 64 bytes",
                 );
             }
         }
-        let probe_period = self.time(&key.key("probe_period"), f.probe_period.as_ref(), second, 10 * ms);
-        let suspicion = self.time(&key.key("suspicion"), f.suspicion.as_ref(), 3 * second, 10 * ms);
+        let probe_period =
+            self.duration(&key.key("probe_period"), spec.probe_period.as_ref(), second, 10 * ms);
+        let suspicion = self.duration(&key.key("suspicion"), spec.suspicion.as_ref(), 3 * second, 10 * ms);
         if suspicion < probe_period {
             let what =
                 format!("fleet.suspicion {suspicion:?} is shorter than fleet.probe_period {probe_period:?}");
-            self.note(&key.key("suspicion"), &what, "a member must have a period's time to object: raise it");
+            self.report_str(
+                &key.key("suspicion"),
+                &what,
+                "raise it: a suspected member needs a probe period to respond",
+            );
         }
         let forget_after =
-            self.time(&key.key("forget_after"), f.forget_after.as_ref(), 600 * second, 10 * ms);
+            self.duration(&key.key("forget_after"), spec.forget_after.as_ref(), 600 * second, 10 * ms);
         if forget_after < 2 * suspicion {
             let what = format!(
                 "fleet.forget_after {forget_after:?} is shorter than twice fleet.suspicion {suspicion:?}"
             );
-            self.note(
+            self.report_str(
                 &key.key("forget_after"),
                 &what,
-                "a dead member that is forgotten early comes back by hearsay",
+                "raise it: a dead member that is forgotten early is added again from peers' reports",
             );
         }
-        let ask_every = self.time(&key.key("ask_every"), f.ask_every.as_ref(), 200 * ms, 5 * ms);
-        let max_age = self.time(&key.key("max_age"), f.max_age.as_ref(), 20 * second, 10 * ms);
-        if max_age < ASKINGS * ask_every {
+        let ask_every = self.duration(&key.key("ask_every"), spec.ask_every.as_ref(), 200 * ms, 5 * ms);
+        let max_age = self.duration(&key.key("max_age"), spec.max_age.as_ref(), 20 * second, 10 * ms);
+        if max_age < MIN_ROUNDS_PER_MAX_AGE * ask_every {
             let what = format!(
-                "fleet.max_age {max_age:?} is shorter than {ASKINGS} times fleet.ask_every {ask_every:?}"
+                "fleet.max_age {max_age:?} is shorter than {MIN_ROUNDS_PER_MAX_AGE} times \
+                 fleet.ask_every {ask_every:?}"
+            );
+            self.report_str(
+                &key.key("max_age"),
+                &what,
+                "raise it: reports would expire before they have reached all members",
             );
-            self.note(&key.key("max_age"), &what, "news would be void before it has reached all members");
         }
-        let members = self.whole(&key.key("members"), f.members, 4096, 2, 65_536);
-        let size_floor = self.whole(&key.key("size_floor"), f.size_floor, 1, 1, 65_536);
+        let members = self.integer(&key.key("members"), spec.members, 4096, 2, 65_536);
+        let size_floor = self.integer(&key.key("size_floor"), spec.size_floor, 1, 1, 65_536);
         if size_floor > members {
             let what = format!("fleet.size_floor {size_floor} is above fleet.members {members}");
-            self.note(&key.key("size_floor"), &what, "lower fleet.size_floor or raise fleet.members");
+            self.report_str(&key.key("size_floor"), &what, "lower fleet.size_floor or raise fleet.members");
         }
         Fleet {
             address,
             advertise,
             name: name.cloned().unwrap_or_default(),
-            zone: f.zone.clone().unwrap_or_default(),
+            zone: spec.zone.clone().unwrap_or_default(),
             seeds,
-            key_file: f.key_file.as_ref().map(PathBuf::from),
+            key_file: spec.key_file.as_ref().map(PathBuf::from),
             probe_period,
             suspicion_timeout: suspicion,
             forget_after,
             ask_every,
-            ask_peers: self.whole(&key.key("ask_peers"), f.ask_peers, 3, 1, 16),
+            ask_peers: self.integer(&key.key("ask_peers"), spec.ask_peers, 3, 1, 16),
             max_age,
             max_members: members,
-            max_facts: self.whole(&key.key("facts"), f.facts, 8192, 64, 1 << 20),
-            duties: f.duties.as_ref().map(|d| self.duties(&key.key("duties"), d, name)),
+            max_facts: self.integer(&key.key("facts"), spec.facts, 8192, 64, 1 << 20),
+            duties: spec.duties.as_ref().map(|d| self.duties(&key.key("duties"), d, name)),
             size_floor: size_floor as u32,
-            size_hold: self.time(&key.key("size_hold"), f.size_hold.as_ref(), 60 * second, Duration::ZERO),
-            max_send_bytes_per_second: self.whole(&key.key("send_kb"), f.send_kb, 256, 8, 65_536) as u64
+            size_hold: self.duration(
+                &key.key("size_hold"),
+                spec.size_hold.as_ref(),
+                60 * second,
+                Duration::ZERO,
+            ),
+            max_send_bytes_per_second: self.integer(&key.key("send_kb"), spec.send_kb, 256, 8, 65_536) as u64
                 * 1024,
-            max_receive_datagrams_per_second: self.whole(
+            max_receive_datagrams_per_second: self.integer(
                 &key.key("receive_datagrams"),
-                f.receive_datagrams,
+                spec.receive_datagrams,
                 10_000,
                 100,
                 1_000_000,
@@ -202,68 +228,69 @@
         }
     }
 
-    fn duties(&mut self, key: &KeyPath, d: &format::Duties, name: Option<&String>) -> Duties {
-        let distinct: std::collections::BTreeSet<&String> = d.voters.iter().collect();
-        if !matches!(d.voters.len(), 1 | 3 | 5 | 7) || distinct.len() != d.voters.len() {
-            let what = format!("names {} members, {} of them different", d.voters.len(), distinct.len());
-            self.note(&key.key("voters"), &what, "name 1, 3, 5 or 7 different members");
+    fn duties(&mut self, key: &KeyPath, spec: &format::Duties, name: Option<&String>) -> Duties {
+        let distinct: std::collections::BTreeSet<&String> = spec.voters.iter().collect();
+        if !matches!(spec.voters.len(), 1 | 3 | 5 | 7) || distinct.len() != spec.voters.len() {
+            let what = format!("names {} members, {} of them different", spec.voters.len(), distinct.len());
+            self.report_str(&key.key("voters"), &what, "name 1, 3, 5 or 7 different members");
         }
-        let votes = name.is_some_and(|n| d.voters.contains(n));
-        if votes && d.folder.is_none() {
+        let votes = name.is_some_and(|name| spec.voters.contains(name));
+        if votes && spec.folder.is_none() {
             let name = name.map_or("", String::as_str);
             let what = format!("is missing, and {name:?} is one of fleet.duties.voters");
-            self.note(&key.key("folder"), &what, "a voter has to store what it promises: give it a folder");
+            self.report_str(&key.key("folder"), &what, "give it a folder: a voter has to store its promises");
         }
-        if !votes && d.folder.is_some() {
+        if !votes && spec.folder.is_some() {
             let what = "is given, and this member is not one of fleet.duties.voters";
-            self.note(&key.key("folder"), what, "take it out, or name this member as a voter");
+            self.report_str(&key.key("folder"), what, "take it out, or name this member as a voter");
         }
         let ms = Duration::from_millis(1);
-        let lease = self.time(&key.key("lease"), d.lease.as_ref(), 1000 * ms, 200 * ms);
+        let lease = self.duration(&key.key("lease"), spec.lease.as_ref(), 1000 * ms, 200 * ms);
         if lease > Duration::from_secs(60) {
-            self.note(
+            self.report_str(
                 &key.key("lease"),
                 "is longer than a minute",
-                "a dead owner's work would stand still: lower it",
+                "lower it: the duties of a dead owner are not done for that long",
             );
         }
-        for (i, n) in d.names.iter().enumerate() {
-            let fits =
-                !n.is_empty() && n.len() <= 64 && !n.chars().any(|c| c.is_control() || c.is_whitespace());
-            if !fits || d.names[..i].contains(n) {
-                self.note(
+        for (i, duty) in spec.names.iter().enumerate() {
+            let fits = !duty.is_empty()
+                && duty.len() <= 64
+                && !duty.chars().any(|c| c.is_control() || c.is_whitespace());
+            if !fits || spec.names[..i].contains(duty) {
+                self.report_str(
                     &key.key("names").index(i),
                     "is no name of its own",
                     "use 1 to 64 bytes without spaces, once",
                 );
             }
         }
-        if d.names.len() > 1000 {
-            self.note(&key.key("names"), "names more than 1000 duties", "name fewer");
+        if spec.names.len() > 1000 {
+            self.report_str(&key.key("names"), "names more than 1000 duties", "name fewer");
         }
         Duties {
-            voters: d.voters.clone(),
-            folder: d.folder.as_ref().map(PathBuf::from),
+            voters: spec.voters.clone(),
+            folder: spec.folder.as_ref().map(PathBuf::from),
             lease,
-            names: d.names.clone(),
-            export: d.export.as_ref().map(|e| self.export(&key.key("export"), d, e)),
+            names: spec.names.clone(),
+            export: spec.export.as_ref().map(|e| self.export(&key.key("export"), spec, e)),
         }
     }
 
-    fn export(&mut self, key: &KeyPath, d: &format::Duties, e: &format::Export) -> Export {
-        if d.names.iter().any(|n| n == EXPORT) {
+    fn export(&mut self, key: &KeyPath, duties: &format::Duties, spec: &format::Export) -> Export {
+        if duties.names.iter().any(|n| n == EXPORT_DUTY) {
             let what = "is also a name in fleet.duties.names";
-            self.note(key, what, "take it out there: this table makes the duty \"export\"");
+            self.report_str(key, what, "take it out there: this table makes the duty \"export\"");
         }
-        let path = e.path.clone().unwrap_or_else(|| "/".into());
+        let path = spec.path.clone().unwrap_or_else(|| "/".into());
         if !path.starts_with('/') || path.bytes().any(|b| b <= b' ' || b >= 127) || path.len() > 1024 {
-            self.note(&key.key("path"), "is no path", "begin it with a slash, without spaces");
+            self.report_str(&key.key("path"), "is not a path", "begin it with a slash, without spaces");
         }
         let ms = Duration::from_millis(1);
         Export {
-            address: self.address(&key.key("address"), &e.address),
+            address: self.address(&key.key("address"), &spec.address),
             path,
-            interval: self.time(&key.key("every"), e.every.as_ref(), 10_000 * ms, 100 * ms),
+            interval: self.duration(&key.key("every"), spec.every.as_ref(), 10_000 * ms, 100 * ms),
         }
     }
 }
--- a/crates/config/src/file/format.rs
+++ b/crates/config/src/file/format.rs
@@ -1,4 +1,4 @@
-//! The operator's file as it is written: these types are the format, and its JSON Schema comes from them.
+//! The format of the operator's file. Its JSON Schema is generated from these types.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -10,34 +10,34 @@
 pub struct File {
     /// The version of this format: 1.
     pub version: u32,
-    /// The name of this process, in logs. Default: "garnettally".
+    /// The name of this process in logs. Default: "garnettally".
     #[serde(default)]
     pub name: Option<String>,
-    /// 16 hex digits for random numbers. Default: the system's.
+    /// The seed of the random numbers: 16 hex digits. Default: drawn by the system.
     #[serde(default)]
     pub seed: Option<String>,
     /// What is logged, and how.
     #[serde(default)]
     pub logging: Logging,
-    /// What the process may use.
+    /// The resources that the process may use.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Where operators call. Default: nowhere.
+    /// The admin address, where operators call. Default: none is served.
     #[serde(default)]
     pub admin: Option<Admin>,
     /// The other balancers of the fleet. Default: nothing is shared with any.
     #[serde(default)]
     pub fleet: Option<Fleet>,
-    /// Where clients connect, by name. One at the least.
+    /// The addresses where clients connect, by name. At least one.
     pub listeners: BTreeMap<String, Listener>,
-    /// Kinds of requests, by name. One at the least.
+    /// The classes of requests, by name. At least one.
     pub classes: BTreeMap<String, Class>,
-    /// Who requests are for, by name.
+    /// The tenants on whose behalf requests are made, by name.
     #[serde(default)]
     pub tenants: BTreeMap<String, Tenant>,
-    /// Nodes that serve the same, by name. One at the least.
+    /// The pools, each of nodes that serve the same requests, by name. At least one.
     pub pools: BTreeMap<String, Pool>,
-    /// Which requests go where; the most specific one that matches wins. One at the least.
+    /// The routes from requests to pools; the most specific matching route is used. At least one.
     pub routes: Vec<Route>,
 }
 
@@ -62,76 +62,76 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Logging {
-    /// How lines are written. Default: "text".
+    /// The format of log lines. Default: "text".
     pub format: LogFormat,
-    /// The least severe lines that are written. Default: "info".
+    /// The lowest severity of the lines that are written. Default: "info".
     pub level: LogLevel,
-    /// Which requests get a line. Default: "none".
+    /// The requests that are logged with a line each. Default: "none".
     pub requests: LogRequests,
-    /// Lines that may wait to be written; past them lines are dropped, counted, and the count is logged.
+    /// The most log lines that wait to be written. Further lines are dropped, and their number is logged.
     /// Default: 1024. 16 to 1048576.
     pub queue: Option<usize>,
 }
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people to read.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The severity of log lines.
+/// The severity of a log line. Each level includes those before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// What went wrong.
+    /// Something failed.
     Error,
-    /// And what may.
+    /// Something may fail soon.
     Warning,
-    /// And what an operator follows.
+    /// Events that operators follow.
     #[default]
     Info,
-    /// And every attempt that failed.
+    /// Details: every attempt that failed.
     Debug,
 }
 
-/// Which requests get a line of their own.
+/// The requests that are logged with a line each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogRequests {
-    /// None.
+    /// No requests.
     #[default]
     None,
-    /// Those that were not served.
+    /// Requests that were not served.
     Failed,
-    /// Every one.
+    /// All requests.
     All,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProcessLimits {
-    /// File descriptors. Default: 1024. 64 or more.
+    /// The most file descriptors. Default: 1024. 64 or more.
     pub descriptors: Option<usize>,
-    /// Memory, in MiB; it bounds what unfinished messages may hold. Default: 192. 16 or more.
+    /// Memory in MiB; it bounds the buffers of unfinished messages. Default: 192. 16 or more.
     pub memory_mb: Option<usize>,
-    /// Requests in flight. Default: 4096. 1 or more.
+    /// The most requests in flight. Default: 4096. 1 or more.
     pub requests: Option<usize>,
-    /// Keys of keyed requests whose windows are open, where a route has several pools; a keyed request beyond
-    /// them is refused. Default: 65536. 1 or more.
+    /// The most keys of keyed requests with an open window, on routes with several pools. A keyed request
+    /// with a further key is refused. Default: 65536. 1 or more.
     pub pins: Option<usize>,
 }
 
-/// Where operators call.
+/// The address where operators call.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Admin {
-    /// Address and port; nobody but operators should reach it.
+    /// Address and port, which only operators should be able to reach.
     pub address: String,
 }
 
@@ -139,152 +139,162 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Address and UDP port where this member takes datagrams.
+    /// Address and UDP port where this member receives datagrams.
     pub address: String,
-    /// Where peers reach it, if that is another address. Default: `address`.
+    /// The address where peers reach this member, if it is another one. Default: `address`.
     #[serde(default)]
     pub advertise: Option<String>,
-    /// Its name, which no other member has. Default: `name` of the file, which is then required.
+    /// The name of this member, which no other member has. Default: `name` of the file, which is then
+    /// required.
     #[serde(default)]
     pub name: Option<String>,
-    /// Its zone, as the nodes' zones are named. Default: "".
+    /// The zone of this member, named like the nodes' zones. Default: "".
     #[serde(default)]
     pub zone: Option<String>,
-    /// Addresses of members that let it in: two or three that are seldom down together. Default: none.
+    /// Addresses of members to join through: two or three that are seldom down together. Default: none.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// File of keys, a line each: a number and 64 hex digits; the first seals, each opens. Default: none, and then
-    /// only loopback addresses may be used.
+    /// A file with one key per line: a number and 64 hex digits. The first key seals datagrams, and each key
+    /// opens them. Default: none, and then only loopback addresses may be used.
     #[serde(default)]
     pub key_file: Option<String>,
-    /// A member chosen by chance is probed this often. Default: "1s".
+    /// The time between two probes, each of one member chosen at random. Default: "1s".
     #[serde(default)]
     pub probe_period: Option<Time>,
-    /// A member that did not answer is taken to be dead after this. Default: "3s". No less than `probe_period`.
+    /// A member that did not answer is considered dead after this time. Default: "3s". No less than
+    /// `probe_period`.
     #[serde(default)]
     pub suspicion: Option<Time>,
-    /// A dead member is forgotten after this. Default: "10m". No less than twice `suspicion`.
+    /// A dead member is forgotten after this time. Default: "10m". No less than twice `suspicion`.
     #[serde(default)]
     pub forget_after: Option<Time>,
-    /// Some peers are asked for news this often. Default: "200ms".
+    /// The time between two rounds in which some peers are asked for updates. Default: "200ms".
     #[serde(default)]
     pub ask_every: Option<Time>,
-    /// So many peers, beside one by chance. Default: 3. 1 to 16.
+    /// The number of peers asked in each round, beside one chosen at random. Default: 3. 1 to 16.
     #[serde(default)]
     pub ask_peers: Option<usize>,
-    /// What peers said is void when it is so old. Default: "20s". No less than ten times `ask_every`.
+    /// Reports of peers that are older than this are not used. Default: "20s". No less than ten times
+    /// `ask_every`.
     #[serde(default)]
     pub max_age: Option<Time>,
-    /// Members that are known at the most. Default: 4096. 2 to 65536.
+    /// The most members that are tracked. Default: 4096. 2 to 65536.
     #[serde(default)]
     pub members: Option<usize>,
-    /// Pieces of news that are held at the most. Default: 8192. 64 to 1048576.
+    /// The most reports of peers that are stored. Default: 8192. 64 to 1048576.
     #[serde(default)]
     pub facts: Option<usize>,
-    /// The fleet is taken to have at least so many members. Default: 1. No more than `members`.
+    /// The fleet is assumed to have at least this many members. Default: 1. No more than `members`.
     #[serde(default)]
     pub size_floor: Option<usize>,
-    /// Nor fewer than were alive at once within this. Default: "1m".
+    /// The fleet is assumed to have at least as many members as were alive at once within this time.
+    /// Default: "1m".
     #[serde(default)]
     pub size_hold: Option<Time>,
-    /// KiB a second that are sent at the most. Default: 256. 8 to 65536.
+    /// The most KiB that are sent per second. Default: 256. 8 to 65536.
     #[serde(default)]
     pub send_kb: Option<usize>,
-    /// Datagrams a second that are looked at at the most. Default: 10000. 100 to 1000000.
+    /// The most datagrams that are processed per second. Default: 10000. 100 to 1000000.
     #[serde(default)]
     pub receive_datagrams: Option<usize>,
-    /// Work that one member does on behalf of all. Default: there is none.
+    /// Duties, each of which one member does on behalf of all. Default: none.
     #[serde(default)]
     pub duties: Option<Duties>,
 }
 
-/// Work that one member at a time does on behalf of the fleet, and who decides which.
+/// Duties, each of which one member at a time does on behalf of the fleet, and the members that vote on the
+/// owners.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Duties {
-    /// Names of the members that decide: 1, 3, 5 or 7, the same in all files, in the same order.
+    /// Names of the members that vote on the owners: 1, 3, 5 or 7, the same in all files, in the same order.
     pub voters: Vec<String>,
-    /// Folder for what a voter has promised. Required where this member is one; on a disk of its own that is synced.
+    /// The folder where a voter stores its promises. Required where this member is a voter; on a disk of its
+    /// own that is synced.
     #[serde(default)]
     pub folder: Option<String>,
-    /// For how long a promise holds: a dead owner's work stands still for about so long. Default: "1s". 200 ms to 1 min.
+    /// How long a promise is valid. The duties of a dead owner are not done for about this long. Default:
+    /// "1s". 200 ms to 1 min.
     #[serde(default)]
     pub lease: Option<Time>,
-    /// Names of duties whose work others do: they ask the admin address of a member whether it may. Default: none.
+    /// Names of duties whose work other programs do: each asks the admin address of a member whether that
+    /// member is the owner. Default: none.
     #[serde(default)]
     pub names: Vec<String>,
-    /// The duty "export": all members' figures, told to a sink. Default: there is none.
+    /// The duty "export": the figures of all members are sent to a sink. Default: none.
     #[serde(default)]
     pub export: Option<Export>,
 }
 
-/// The figures of all members, told to a sink over HTTP by whoever owns the duty.
+/// The export of all members' figures: the owner of the duty sends them to a sink over HTTP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Export {
     /// Address and port of the sink.
     pub address: String,
-    /// The path of its POST. Default: "/".
+    /// The path of the POST requests. Default: "/".
     #[serde(default)]
     pub path: Option<String>,
-    /// How often. Default: "10s". 100 ms or more.
+    /// The time between two exports. Default: "10s". 100 ms or more.
     #[serde(default)]
     pub every: Option<Time>,
 }
 
-/// A part of a limit: what is its own, and the most that it may have.
+/// A share of a limited resource: a guaranteed minimum and a maximum.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Share {
-    /// Units that nobody else may take. Default: 0.
+    /// Units that are reserved and that nothing else may use. Default: 0.
     pub min: Option<usize>,
-    /// The most it may have, its own included. Default: no bound but the process's.
+    /// The most units in use, the reserved ones included. Default: no bound but the process's.
     pub max: Option<usize>,
 }
 
-/// Where clients connect.
+/// An address where clients connect.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
     /// Address and port.
     pub address: String,
-    /// Its connections, of the process's descriptors.
+    /// The share of connections, out of the process's descriptors.
     #[serde(default)]
     pub connections: Share,
-    /// Its requests in flight.
+    /// The share of requests in flight.
     #[serde(default)]
     pub requests: Share,
-    /// The memory of its unfinished requests, in KiB, of the eighth of `limits.memory_mb` that all may use.
+    /// The share of memory for unfinished requests, in KiB, out of the eighth of `limits.memory_mb` that all
+    /// listeners use.
     #[serde(default)]
     pub memory_kb: Share,
 }
 
-/// A kind of requests.
+/// A class of requests that are treated alike.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// What a repeat does: "safe" changes nothing, "keyed" is dropped by some nodes for a time, "never" runs twice.
+    /// What a repeated request does: "safe": it changes nothing. "keyed": some nodes drop it by its key for a
+    /// time. "never": it runs a second time, and so must not be sent.
     pub repeat: Repeat,
-    /// Answers within this earn full worth.
+    /// A response within this time earns the full worth.
     pub aim: Time,
     /// The longest that a request may take, all its attempts together.
     pub deadline: Time,
-    /// Worth of one request. Default: 1.
+    /// The worth of one request. Default: 1.
     #[serde(default)]
     pub worth: Option<f64>,
-    /// Part of the worth that an answer past the aim earns, 0 to 1. Default: 0.
+    /// The fraction of the worth that a response after the aim earns, 0 to 1. Default: 0.
     #[serde(default)]
     pub late_worth: Option<f64>,
-    /// For how long repeats are dropped, from the first attempt that may have run. Required for "keyed".
+    /// How long nodes drop repeats, from the first attempt that may have run. Required for "keyed".
     #[serde(default)]
     pub window: Option<Time>,
-    /// Which nodes drop them. Default: "cell".
+    /// The nodes that drop repeats of a key. Default: "cell".
     #[serde(default)]
     pub key_scope: Option<KeyScope>,
-    /// The kinds of node it may go to. Default: all.
+    /// The kinds of node that may serve these requests. Default: all.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// The zones it may go to. Default: all.
+    /// The zones whose nodes may serve these requests. Default: all.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Requests that share a key run one at a time, in the order in which they came. Default: false.
@@ -292,241 +302,247 @@
     pub ordered: bool,
 }
 
-/// What a repeat does.
+/// What a repeated request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// Nothing.
+    /// A repeat changes nothing.
     Safe,
-    /// It is dropped by its key.
+    /// Some nodes drop a repeat by its key.
     Keyed,
-    /// It must not be.
+    /// A repeat runs again, and so must not be sent.
     Never,
 }
 
-/// Which nodes drop repeats of a key.
+/// The nodes that drop repeats of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyScope {
-    /// Those of one cell.
+    /// The nodes of one cell.
     Cell,
-    /// Those of one zone.
+    /// The nodes of one zone.
     Zone,
-    /// All of the pool.
+    /// All nodes of the pool.
     All,
 }
 
-/// Who requests are for.
+/// A tenant on whose behalf requests are made.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenant {
-    /// Requests a second that are within its share. Default: no bound.
+    /// The requests per second that are within the tenant's quota. Default: no bound.
     pub quota: Option<f64>,
 }
 
-/// Nodes that serve the same, balanced by one instance of the decision module. Exactly one of `nodes`,
-/// `nodes_file` and `discovery` says where they are.
+/// Nodes that serve the same requests, balanced by one instance of the decision module. Exactly one of
+/// `nodes`, `nodes_file` and `discovery` lists them.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pool {
-    /// The nodes themselves.
+    /// The list of nodes.
     pub nodes: Option<Vec<Node>>,
-    /// A file that lists them as `[[nodes]]`; it is read again when it changes.
+    /// A file that lists the nodes as `[[nodes]]`; it is read again when it changes.
     pub nodes_file: Option<String>,
     /// Address and port of the platform's discovery.
     pub discovery: Option<String>,
-    /// The zone of this process, as the nodes' zones are named. Default: "".
+    /// The zone of this process, named like the nodes' zones. Default: "".
     pub zone: Option<String>,
-    /// What an attempt that leaves the zone costs, as a part of a request's worth. Default: 0.
+    /// The cost of an attempt that leaves the zone, as a fraction of the request's worth. Default: 0.
     pub crossing_price: Option<f64>,
-    /// Processes that balance over these nodes, this one included. Default: 1, or the fleet's size with `fleet`.
+    /// The processes that balance over these nodes, this one included. Default: 1, or the fleet's size with
+    /// `fleet`.
     pub instances: Option<u32>,
-    /// This one's number among them, from 0. Default: 0.
+    /// The number of this process among `instances`, from 0. Default: 0.
     pub instance: Option<u32>,
-    /// The most attempts of one request. Default: 3. 1 to 16.
+    /// The most attempts for one request. Default: 3. 1 to 16.
     pub attempts: Option<u32>,
-    /// A second attempt may run beside the first, where the class allows a repeat. Default: true.
+    /// Whether a second attempt may run in parallel to the first, where the class allows a repeat.
+    /// Default: true.
     pub hedging: Option<bool>,
-    /// Attempts may be called off, which closes their connection. Default: true.
+    /// Whether attempts may be cancelled, which closes their connections. Default: true.
     pub cancel: Option<bool>,
-    /// The longest `Retry-After`; "0s" tells none. Default: "2s".
+    /// The longest `Retry-After` sent to clients; "0s" sends none. Default: "2s".
     pub retry_after_max: Option<Time>,
     /// How long opening a connection to a node may take. Default: "250ms".
     pub connect_timeout: Option<Time>,
-    /// Nodes close connections that have been idle for this long; here it is done at two thirds. Default: "60s".
+    /// How long nodes keep idle connections open; this process closes them after two thirds of it. Default:
+    /// "60s".
     pub idle_timeout: Option<Time>,
-    /// A node that has just started can do this part of its work, 0 to 1. Default: 0.1.
+    /// The fraction of its capacity that a node has right after its start, 0 to 1. Default: 0.1.
     pub cold_share: Option<f64>,
-    /// It can do all of it after this. Default: "10s".
+    /// The time from its start after which a node has its full capacity. Default: "10s".
     pub warm_after: Option<Time>,
-    /// `weight` of a node tells its size. Default: false.
+    /// Whether `weight` of a node is its size. Default: false.
     pub weighted: Option<bool>,
-    /// Worth of a request past its tenant's quota, as a part. Default: 1.
+    /// The fraction of its worth that a request beyond its tenant's quota has. Default: 1.
     pub over_quota_worth: Option<f64>,
-    /// Its requests in flight.
+    /// The share of requests in flight.
     pub requests: Share,
-    /// Its connections to nodes, of the process's descriptors.
+    /// The share of connections to nodes, out of the process's descriptors.
     pub connections: Share,
-    /// The memory of its unfinished long answers, in KiB, of the eighth of `limits.memory_mb` that all may use.
+    /// The share of memory for long unfinished responses, in KiB, out of the eighth of `limits.memory_mb`
+    /// that all pools use.
     pub memory_kb: Share,
-    /// When it is left in a list of `failover`, and how it is returned to.
+    /// When requests leave this pool in a list of `failover`, and how they return to it.
     pub failover: Failover,
 }
 
-/// A node.
+/// A node of a pool.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Its name, which no other node of the pool has.
+    /// The name of the node, which no other node of the pool has.
     pub name: String,
     /// Address and port.
     pub address: String,
-    /// Its zone. Default: none.
+    /// The zone of the node. Default: none.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Its kind of machine. Default: none.
+    /// The machine type of the node. Default: none.
     #[serde(default)]
     pub kind: Option<String>,
-    /// Its cell: the nodes that drop repeats of one another's keys. Default: 0.
+    /// The cell of the node: the nodes of a cell drop repeats of one another's keys. Default: 0.
     #[serde(default)]
     pub cell: Option<i64>,
-    /// Its size, where the pool is `weighted`. Default: 1. Above 0.
+    /// The size of the node, where the pool is `weighted`. Default: 1. Above 0.
     #[serde(default)]
     pub weight: Option<f64>,
-    /// Whether it takes new requests. Default: "ready".
+    /// Whether the node accepts new requests. Default: "ready".
     #[serde(default)]
     pub state: Option<NodeState>,
 }
 
-/// Whether a node takes new requests.
+/// Whether a node accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeState {
-    /// It does.
+    /// The node accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// The node finishes its present requests and gets no new ones.
     Draining,
 }
 
-/// When a pool is left in a list of `failover`, and how it is returned to.
+/// When requests leave a pool in a list of `failover`, and how they return to it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failover {
-    /// It is left when the healthy part of its nodes falls below this, 0 to 1. Default: 0.5.
+    /// Requests leave the pool when the healthy fraction of its nodes falls below this, 0 to 1. Default: 0.5.
     pub leave_below: Option<f64>,
-    /// It may be returned to while that part is this or more, 0 to 1. Default: 0.7.
+    /// Requests may return while the healthy fraction is this or more, 0 to 1. Default: 0.7.
     pub return_above: Option<f64>,
-    /// For how long it must have been so; doubled by each further fall. Default: "10s".
+    /// How long the healthy fraction must have been so before requests return; doubled by each further fall.
+    /// Default: "10s".
     pub hold: Option<Time>,
-    /// The most that this is doubled to. Default: "5m".
+    /// The longest time to which `hold` is doubled. Default: "5m".
     pub hold_max: Option<Time>,
-    /// Over how long its requests come back, key by key. Default: "30s".
+    /// The time over which requests return gradually, key by key. Default: "30s".
     pub return_over: Option<Time>,
 }
 
-/// Which requests go where. Exactly one of `path` and `path_prefix` says which paths, and exactly one of `pool`,
-/// `split` and `failover` says where they go.
+/// A route from requests to pools. Exactly one of `path` and `path_prefix` gives the paths, and exactly one
+/// of `pool`, `split` and `failover` the pools.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name, which no other route has.
+    /// The name of the route, which no other route has.
     pub name: String,
-    /// The host: a name, "*.domain" for all under a domain, or "*". Default: "*".
+    /// The host: a name, "*.domain" for all names under a domain, or "*" for any. Default: "*".
     #[serde(default)]
     pub host: Option<String>,
-    /// The whole path; a segment such as "{id}" stands for any.
+    /// The whole path; a segment such as "{id}" matches any segment.
     #[serde(default)]
     pub path: Option<String>,
-    /// The first segments of the path.
+    /// The first segments of the path; any others may follow.
     #[serde(default)]
     pub path_prefix: Option<String>,
-    /// The methods. Default: all.
+    /// The methods that match. Default: all.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// What headers must be.
+    /// Tests that the headers must pass.
     #[serde(default)]
     pub headers: Vec<FieldTest>,
-    /// What query parameters must be.
+    /// Tests that the query parameters must pass.
     #[serde(default)]
     pub query: Vec<FieldTest>,
-    /// The class of its requests.
+    /// The class of the route's requests.
     pub class: String,
-    /// Where the tenant of a request is told. Default: no tenant.
+    /// Where a request names its tenant. Default: no tenant.
     #[serde(default)]
     pub tenant: Option<Source>,
-    /// Where the key of a request is told. Required where the class is "keyed" or `ordered`.
+    /// Where a request carries its key. Required where the class is "keyed" or `ordered`.
     #[serde(default)]
     pub key: Option<Source>,
-    /// How long a request may take.
+    /// The deadline of a request.
     #[serde(default)]
     pub deadline: Deadline,
-    /// The pool it goes to.
+    /// The pool that serves the requests.
     #[serde(default)]
     pub pool: Option<String>,
-    /// Pools and their weights: a key, or else a request, goes to one of them by weight.
+    /// Pools and their weights. Each key, or else each request without one, is assigned to a pool by weight.
     #[serde(default)]
     pub split: Option<BTreeMap<String, f64>>,
-    /// Pools by priority: the first that is healthy.
+    /// Pools by priority: the first healthy one serves the requests.
     #[serde(default)]
     pub failover: Option<Vec<String>>,
-    /// Another pool that gets copies, whose answers are thrown away. Only for classes that are "safe".
+    /// Another pool that gets copies of requests; the responses to them are discarded. Only for classes that
+    /// are "safe".
     #[serde(default)]
     pub mirror: Option<Mirror>,
-    /// Its requests in flight.
+    /// The share of requests in flight.
     #[serde(default)]
     pub requests: Share,
 }
 
-/// What a header or a query parameter must be: exactly one of `equals`, `starts_with` and `present`.
+/// A test of a header or a query parameter: exactly one of `equals`, `starts_with` and `present`.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FieldTest {
-    /// Its name; a header's without regard to case.
+    /// The name of the header or query parameter; case is ignored for headers.
     pub name: String,
-    /// Exactly this.
+    /// The value must be exactly this.
     #[serde(default)]
     pub equals: Option<String>,
-    /// This, and then anything.
+    /// The value must begin with this.
     #[serde(default)]
     pub starts_with: Option<String>,
-    /// There (true), or not there (false).
+    /// Whether the field must be present (true) or absent (false).
     #[serde(default)]
     pub present: Option<bool>,
 }
 
-/// Where a value is told: exactly one of these.
+/// The place of a value in a request: exactly one of these keys.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Source {
-    /// In this header.
+    /// The value is in this header.
     pub header: Option<String>,
-    /// In this query parameter.
+    /// The value is in this query parameter.
     pub query: Option<String>,
-    /// In this parameter of the path's template.
+    /// The value is the segment that matches this parameter of the route's path template.
     pub param: Option<String>,
-    /// Here: it is the same for all.
+    /// The value itself, the same for all requests.
     pub value: Option<String>,
 }
 
-/// How long a request may take.
+/// The deadline of a request.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Deadline {
-    /// Where its client says so, in seconds with decimals. Default: the header Req-Deadline.
+    /// Where a client gives the deadline, in seconds with decimals. Default: the header Req-Deadline.
     pub from: Option<Source>,
-    /// Without a word of the client's. Default: the class's deadline.
+    /// The deadline of a request whose client gives none. Default: the class's deadline.
     pub default: Option<Time>,
-    /// At the most, whatever the client says. Default: the class's deadline.
+    /// The longest deadline, whatever the client gives. Default: the class's deadline.
     pub ceiling: Option<Time>,
 }
 
-/// Copies of some requests, whose answers are thrown away.
+/// Copies of some requests; the responses to them are discarded.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Mirror {
-    /// The pool that gets them. It needs a `max` of requests and of connections.
+    /// The pool that gets the copies. It needs a `max` of requests and of connections.
     pub pool: String,
-    /// The part of the requests that is copied, 0 to 1.
+    /// The fraction of the requests that is copied, 0 to 1.
     pub share: f64,
 }
 
@@ -534,6 +550,6 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NodesFile {
-    /// The nodes.
+    /// The nodes of the pool.
     pub nodes: Vec<Node>,
 }
--- a/crates/config/src/file/mod.rs
+++ b/crates/config/src/file/mod.rs
@@ -1,7 +1,8 @@
-//! The operator's file: read, checked, and given defaults.
+//! Reads and checks the operator's file and fills in its defaults.
 //!
-//! [`mod@format`] is what may be written, `check` what must hold and what is assumed, [`problems`] how all that is
-//! wrong is told at once. `docs/configuration.md` is the page for operators.
+//! [`mod@format`] defines the keys of the file, `check` and `fleet` hold the checks and defaults, and
+//! [`problems`] collects all problems of a file, so that they are reported together. `docs/configuration.md`
+//! is the page for operators.
 
 mod check;
 mod fleet;
@@ -12,13 +13,13 @@
 pub use fleet::{Duties, Export, Fleet};
 pub use problems::{KeyPath, KeyStep, Problem, Problems};
 
-use check::Check;
+use check::Checker;
 use garnettally_model::Listing;
 use problems::Document;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The longest file that is read.
+/// The largest file that is read.
 pub const MAX_FILE_BYTES: u64 = 64 << 20;
 
 /// The JSON Schema of the operator's file.
@@ -31,44 +32,44 @@
     schemars::schema_for!(format::NodesFile).to_value()
 }
 
-/// Reads and checks an operator's file; all that is wrong with it is told at once.
+/// Reads and checks an operator's file. All its problems are reported together.
 pub fn load(path: &str) -> Result<OperatorConfig, Problems> {
     parse(path, &read(path)?)
 }
 
-/// Checks the text of an operator's file; `name` stands in what is told.
+/// Checks the text of an operator's file. Its problems refer to the file as `name`.
 pub fn parse(name: &str, text: &str) -> Result<OperatorConfig, Problems> {
-    checked(name, text, schema(), |check, file: &format::File| check.file(file))
+    check_file(name, text, schema(), |checker, file: &format::File| checker.operator_config(file))
 }
 
-/// Reads a file that lists the nodes of a pool. A file without nodes is refused: it is far more likely to be
-/// written wrong, or only in part, than meant.
+/// Reads a file that lists the nodes of a pool. A file without nodes is refused, as it is far more likely to
+/// be wrong or incomplete than intended.
 pub fn load_nodes(path: &str) -> Result<Vec<(Listing, Option<SocketAddr>)>, Problems> {
     parse_nodes(path, &read(path)?)
 }
 
-/// Checks the text of such a file.
+/// Checks the text of a file that lists the nodes of a pool. Its problems refer to the file as `name`.
 pub fn parse_nodes(name: &str, text: &str) -> Result<Vec<(Listing, Option<SocketAddr>)>, Problems> {
-    checked(name, text, nodes_schema(), |check, file: &format::NodesFile| {
+    check_file(name, text, nodes_schema(), |checker, file: &format::NodesFile| {
         let key = KeyPath::default().key("nodes");
-        let nodes = check.nodes(&key, &file.nodes);
+        let nodes = checker.nodes(&key, &file.nodes);
         if file.nodes.is_empty() {
-            check.empty(&key);
+            checker.report_empty_nodes(&key);
         }
         Some(nodes)
     })
 }
 
-impl Check<'_, '_> {
-    fn empty(&mut self, key: &KeyPath) {
-        self.note(key, "lists no node", "write one [[nodes]] for each");
+impl Checker<'_, '_> {
+    fn report_empty_nodes(&mut self, key: &KeyPath) {
+        self.report_str(key, "lists no node", "write one [[nodes]] for each");
     }
 }
 
 fn read(path: &str) -> Result<String, Problems> {
-    let failed = |what: String| {
+    let failed = |message: String| {
         let (file, key, remedy) = (path.to_string(), KeyPath::default(), String::new());
-        Problems(vec![Problem { file, line: 0, key, message: what, remedy }])
+        Problems(vec![Problem { file, line: 0, key, message, remedy }])
     };
     let size = std::fs::metadata(path).map_err(|e| failed(e.to_string()))?.len();
     if size > MAX_FILE_BYTES {
@@ -78,35 +79,35 @@
     String::from_utf8(bytes).map_err(|_| failed("is not UTF-8".into()))
 }
 
-fn checked<F: serde::de::DeserializeOwned, T>(
+fn check_file<F: serde::de::DeserializeOwned, T>(
     name: &str,
     text: &str,
     schema: Value,
-    check: impl FnOnce(&mut Check<'_, '_>, &F) -> Option<T>,
+    check: impl FnOnce(&mut Checker<'_, '_>, &F) -> Option<T>,
 ) -> Result<T, Problems> {
-    let mut doc = Document::parse(name, text)?;
+    let mut document = Document::parse(name, text)?;
     let top = KeyPath::default();
     match toml::from_str::<Value>(text) {
-        Ok(value) => doc.check_schema(&schema, &value),
-        Err(e) => doc.wrong(&top, e.message().to_string(), ""),
+        Ok(value) => document.check_schema(&schema, &value),
+        Err(e) => document.report(&top, e.message().to_string(), ""),
     }
-    if doc.failed() {
-        return Err(doc.into_problems());
+    if document.has_problems() {
+        return Err(document.into_problems());
     }
     let file = match toml::from_str::<F>(text) {
         Ok(file) => file,
         Err(e) => {
-            doc.wrong(&top, e.message().to_string(), "");
-            return Err(doc.into_problems());
+            document.report(&top, e.message().to_string(), "");
+            return Err(document.into_problems());
         }
     };
-    match check(&mut Check::new(&mut doc), &file) {
-        Some(value) if !doc.failed() => Ok(value),
+    match check(&mut Checker::new(&mut document), &file) {
+        Some(value) if !document.has_problems() => Ok(value),
         _ => {
-            if !doc.failed() {
-                doc.wrong(&top, "can't be used", "");
+            if !document.has_problems() {
+                document.report(&top, "can't be used", "");
             }
-            Err(doc.into_problems())
+            Err(document.into_problems())
         }
     }
 }
--- a/crates/config/src/file/problems.rs
+++ b/crates/config/src/file/problems.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file: every problem at once, each with its place, its key and what to do.
+//! The problems of a file, collected and reported together, each with its line, its key and a remedy.
 
 use jsonschema::error::ValidationErrorKind as Kind;
 use serde_json::Value;
@@ -6,28 +6,28 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// One step of a key: a name in a table, or a place in an array.
+/// One step on the path to a value: a name in a table, or an index of an array.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyStep {
-    /// A name.
+    /// The name of a value in a table.
     Key(String),
-    /// A place, from 0.
+    /// The index of an element of an array, from 0.
     Index(usize),
 }
 
-/// The key of a value, from the top of the file.
+/// The path of keys that leads from the top of a file to a value, displayed as `pools.web.nodes[0].address`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyPath(pub Vec<KeyStep>);
 
 impl KeyPath {
-    /// This key, and a name in the table that it holds.
+    /// The path of the value called `name` in the table at this path.
     pub fn key(&self, name: &str) -> KeyPath {
         self.with(KeyStep::Key(name.to_string()))
     }
 
-    /// This key, and a place in the array that it holds.
-    pub fn index(&self, place: usize) -> KeyPath {
-        self.with(KeyStep::Index(place))
+    /// The path of an element of the array at this path.
+    pub fn index(&self, index: usize) -> KeyPath {
+        self.with(KeyStep::Index(index))
     }
 
     fn with(&self, step: KeyStep) -> KeyPath {
@@ -41,7 +41,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, step) in self.0.iter().enumerate() {
             match step {
-                KeyStep::Index(place) => write!(f, "[{place}]")?,
+                KeyStep::Index(index) => write!(f, "[{index}]")?,
                 KeyStep::Key(name) => {
                     let bare = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_');
                     let dot = if i > 0 { "." } else { "" };
@@ -56,18 +56,18 @@
     }
 }
 
-/// One thing that is wrong with a file.
+/// A problem of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// The name of the file, as given by the caller.
     pub file: String,
-    /// The line, from 1; 0 where none is at fault.
+    /// The line of the key, from 1; 0 if the problem is not at a line.
     pub line: usize,
-    /// The key.
+    /// The key at fault; empty for the file as a whole.
     pub key: KeyPath,
-    /// What is wrong.
+    /// What is wrong with the key.
     pub message: String,
-    /// What to do.
+    /// How to correct the file; may be empty.
     pub remedy: String,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// The problems of one file, never none, as [`Display`](fmt::Display) writes them: one a line.
+/// The problems of one file, at least one. [`Display`](fmt::Display) writes each on a line of its own.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -102,10 +102,10 @@
     }
 }
 
-/// The most problems that are told of one file.
-const MOST: usize = 100;
+/// The most problems that are reported of one file.
+const MAX_PROBLEMS: usize = 100;
 
-/// A file's text with its places, and what has been found wrong with it.
+/// A parsed file that knows the lines of its keys, and the problems found in it.
 pub(crate) struct Document<'t> {
     name: String,
     text: &'t str,
@@ -114,7 +114,7 @@
 }
 
 impl<'t> Document<'t> {
-    /// Reads the syntax; all its errors at once.
+    /// Parses the text. All syntax errors are reported together.
     pub fn parse(name: &str, text: &'t str) -> Result<Document<'t>, Problems> {
         let (tree, errors) = DeTable::parse_recoverable(text);
         let problem = |e: toml::de::Error| Problem {
@@ -127,147 +127,159 @@
         if errors.is_empty() {
             Ok(Document { name: name.to_string(), text, tree, problems: Vec::new() })
         } else {
-            Err(Problems(errors.into_iter().take(MOST).map(problem).collect()))
+            Err(Problems(errors.into_iter().take(MAX_PROBLEMS).map(problem).collect()))
         }
     }
 
-    /// Notes a problem at a key, or at the nearest one above that stands in the file.
-    pub fn wrong(&mut self, key: &KeyPath, what: impl Into<String>, remedy: impl Into<String>) {
-        if self.problems.len() < MOST {
+    /// Adds a problem at a key. Where the file lacks the key, the line is that of its nearest parent.
+    pub fn report(&mut self, key: &KeyPath, message: impl Into<String>, remedy: impl Into<String>) {
+        if self.problems.len() < MAX_PROBLEMS {
             let (file, line) = (self.name.clone(), self.line(key));
             self.problems.push(Problem {
                 file,
                 line,
                 key: key.clone(),
-                message: what.into(),
+                message: message.into(),
                 remedy: remedy.into(),
             });
         }
     }
 
-    /// Whether something is wrong.
-    pub fn failed(&self) -> bool {
+    /// Whether any problem was found.
+    pub fn has_problems(&self) -> bool {
         !self.problems.is_empty()
     }
 
-    /// The problems in the order of the file.
+    /// Returns the problems in the order of their lines.
     pub fn into_problems(mut self) -> Problems {
         self.problems.sort_by_key(|p| p.line);
         Problems(self.problems)
     }
 
+    /// The line of a key, or of its nearest parent in the file.
     fn line(&self, key: &KeyPath) -> usize {
-        let mut place = self.tree.span().start;
-        let mut here: Option<&DeValue<'_>> = None;
+        let mut offset = self.tree.span().start;
+        let mut current: Option<&DeValue<'_>> = None;
         for step in &key.0 {
-            let next = match (here, step) {
+            let next = match (current, step) {
                 (None, KeyStep::Key(name)) => self.tree.get_ref().get_key_value(name.as_str()),
                 (Some(DeValue::Table(table)), KeyStep::Key(name)) => table.get_key_value(name.as_str()),
-                (Some(DeValue::Array(array)), KeyStep::Index(at)) => {
-                    let Some(value) = array.get(*at) else { break };
-                    place = value.span().start;
-                    here = Some(value.get_ref());
+                (Some(DeValue::Array(array)), KeyStep::Index(index)) => {
+                    let Some(value) = array.get(*index) else { break };
+                    offset = value.span().start;
+                    current = Some(value.get_ref());
                     continue;
                 }
                 _ => break,
             };
             let Some((name, value)) = next else { break };
-            place = name.span().start;
-            here = Some(value.get_ref());
+            offset = name.span().start;
+            current = Some(value.get_ref());
         }
-        line_of(self.text, place)
+        line_of(self.text, offset)
     }
 
-    /// Checks names and types against the format's schema.
+    /// Checks the names and types of all keys against the format's schema.
     pub fn check_schema(&mut self, schema: &Value, value: &Value) {
         let validator = match jsonschema::validator_for(schema) {
             Ok(validator) => validator,
-            Err(e) => return self.wrong(&KeyPath::default(), format!("the format's schema: {e}"), ""),
+            Err(error) => {
+                return self.report(&KeyPath::default(), format!("the format's schema: {error}"), "")
+            }
         };
-        for e in validator.iter_errors(value) {
-            let key = path_of(value, e.instance_path().as_str());
-            match e.kind() {
+        for error in validator.iter_errors(value) {
+            let key = key_path_of(value, error.instance_path().as_str());
+            match error.kind() {
                 Kind::AdditionalProperties { unexpected } => {
-                    let known = properties(schema, e.schema_path().as_str());
+                    let known = property_names(schema, error.schema_path().as_str());
                     for name in unexpected {
-                        self.wrong(&key.key(name), "no such key", nearest(name, &known));
+                        self.report(&key.key(name), "no such key", nearest(name, &known));
                     }
                 }
                 Kind::Required { property } => {
                     let name = property.as_str().unwrap_or_default();
-                    self.wrong(&key, format!("{name} is missing"), format!("add {name}"));
+                    self.report(&key, format!("{name} is missing"), format!("add {name}"));
                 }
                 Kind::Type { .. } | Kind::AnyOf { .. } => {
-                    self.wrong(&key, format!("has the wrong type: {}", shown(e.instance())), wanted(&e));
+                    self.report(
+                        &key,
+                        format!("has the wrong type: {}", quoted(error.instance())),
+                        type_remedy(&error),
+                    );
                 }
                 Kind::Enum { options } => {
-                    self.wrong(
+                    self.report(
                         &key,
-                        format!("{} is not known", shown(e.instance())),
+                        format!("{} is not known", quoted(error.instance())),
                         format!("use one of {options}"),
                     );
                 }
                 Kind::OneOfNotValid { .. } => {
-                    let options = options(schema, e.schema_path().as_str());
-                    let what = format!("{} is not known", shown(e.instance()));
-                    self.wrong(&key, what, format!("use one of {}", options.join(", ")));
+                    let options = enum_values(schema, error.schema_path().as_str());
+                    let what = format!("{} is not known", quoted(error.instance()));
+                    self.report(&key, what, format!("use one of {}", options.join(", ")));
                 }
-                _ => self.wrong(&key, e.to_string(), ""),
+                _ => self.report(&key, error.to_string(), ""),
             }
         }
     }
 }
 
-fn shown(value: &Value) -> String {
+/// A value as it is quoted in a message, cut to 60 characters.
+fn quoted(value: &Value) -> String {
     let text = value.to_string();
     match text.char_indices().nth(60) {
-        Some((at, _)) => format!("{}...", &text[..at]),
+        Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
 }
 
-fn wanted(e: &jsonschema::ValidationError<'_>) -> String {
-    let text = e.to_string();
+/// The remedy for a value of the wrong type: the types that the schema allows.
+fn type_remedy(error: &jsonschema::ValidationError<'_>) -> String {
+    let text = error.to_string();
     text.rsplit_once(" is not of type").or_else(|| text.rsplit_once(" is not of types")).map_or_else(
         || "see docs/configuration.md".to_string(),
         |(_, types)| format!("it must be {}", types.trim_start_matches('s').trim().replace('"', "")),
     )
 }
 
-/// The part of a schema that a pointer leads to, its last step left out.
-fn schema_at<'s>(schema: &'s Value, pointer: &str) -> Option<&'s Value> {
-    // References are followed by the validator, so a path may lead through one: "/properties/x/$ref/...".
-    let mut here = schema;
+/// The part of a schema that a validator's pointer leads to.
+fn schema_part<'s>(schema: &'s Value, pointer: &str) -> Option<&'s Value> {
+    // The validator follows references, so its pointers may lead through one: "/properties/x/$ref/...".
+    let mut current = schema;
     for step in pointer.split('/').skip(1) {
         let step = step.replace("~1", "/").replace("~0", "~");
-        let next = match here {
+        let next = match current {
             Value::Array(items) => items.get(step.parse::<usize>().ok()?)?,
             other => other.get(&step)?,
         };
-        here = match (step.as_str(), next) {
-            ("$ref", Value::String(to)) => schema.pointer(to.strip_prefix('#')?)?,
+        current = match (step.as_str(), next) {
+            ("$ref", Value::String(target)) => schema.pointer(target.strip_prefix('#')?)?,
             _ => next,
         };
     }
-    Some(here)
+    Some(current)
 }
 
-fn parent<'s>(schema: &'s Value, pointer: &str) -> Option<&'s Value> {
-    schema_at(schema, pointer.rsplit_once('/')?.0)
+/// The part of a schema that has the last step of the pointer as its member.
+fn schema_parent<'s>(schema: &'s Value, pointer: &str) -> Option<&'s Value> {
+    schema_part(schema, pointer.rsplit_once('/')?.0)
 }
 
-fn properties(schema: &Value, pointer: &str) -> Vec<String> {
-    let found = parent(schema, pointer).and_then(|p| p.get("properties")).and_then(Value::as_object);
+/// The names that the object with the failed check may have.
+fn property_names(schema: &Value, pointer: &str) -> Vec<String> {
+    let found = schema_parent(schema, pointer).and_then(|p| p.get("properties")).and_then(Value::as_object);
     found.map(|p| p.keys().cloned().collect()).unwrap_or_default()
 }
 
-fn options(schema: &Value, pointer: &str) -> Vec<String> {
-    let one_of = parent(schema, pointer).and_then(|p| p.get("oneOf")).and_then(Value::as_array);
+/// The values that the enumeration with the failed check allows.
+fn enum_values(schema: &Value, pointer: &str) -> Vec<String> {
+    let one_of = schema_parent(schema, pointer).and_then(|p| p.get("oneOf")).and_then(Value::as_array);
     let name = |o: &Value| o.get("const").map(Value::to_string);
     one_of.map(|all| all.iter().filter_map(name).collect()).unwrap_or_default()
 }
 
-/// What may have been meant.
+/// The remedy for an unknown name: the most similar known one, or else a list of those known.
 pub(crate) fn nearest<'k>(name: &str, known: impl IntoIterator<Item = &'k String>) -> String {
     let known: Vec<&String> = known.into_iter().collect();
     let near = known.iter().map(|k| (strsim::damerau_levenshtein(name, k), *k)).min();
@@ -282,27 +294,27 @@
     }
 }
 
-/// The key that a JSON pointer names.
-fn path_of(value: &Value, pointer: &str) -> KeyPath {
+/// The key path of the value that a JSON pointer leads to.
+fn key_path_of(value: &Value, pointer: &str) -> KeyPath {
     let mut path = KeyPath::default();
-    let mut here = Some(value);
+    let mut current = Some(value);
     for step in pointer.split('/').skip(1) {
         let name = step.replace("~1", "/").replace("~0", "~");
-        match here {
+        match current {
             Some(Value::Array(items)) => {
-                let at = name.parse().unwrap_or(usize::MAX);
-                path = path.index(at);
-                here = items.get(at);
+                let index = name.parse().unwrap_or(usize::MAX);
+                path = path.index(index);
+                current = items.get(index);
             }
             other => {
                 path = path.key(&name);
-                here = other.and_then(|v| v.get(&name));
+                current = other.and_then(|v| v.get(&name));
             }
         }
     }
     path
 }
 
-fn line_of(text: &str, place: usize) -> usize {
-    1 + text.as_bytes().iter().take(place).filter(|&&b| b == b'\n').count()
+fn line_of(text: &str, offset: usize) -> usize {
+    1 + text.as_bytes().iter().take(offset).filter(|&&b| b == b'\n').count()
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,8 @@
-//! Configuration: read, checked and given defaults in one place.
+//! Reads the configuration, checks it and fills in its defaults.
 //!
-//! [`platform`] decodes what the platform tells a balancer, [`file`](mod@file) the operator's file of other
-//! installations, and [`limits`] holds every size, count and time.
+//! [`platform`] decodes the configuration of balancers that the platform starts, [`file`](mod@file) the
+//! operator's file of other installations, and [`limits`] holds every size, count and time that follows from
+//! either.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time of the real balancer, filled once at start and handed down.
+//! Every size, count and time of a balancer process, computed once at start and handed to the parts using it.
 
 use crate::file::OperatorConfig;
 use crate::platform::Config;
@@ -8,152 +8,161 @@
 /// The limits of one process.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The module hears of what has come in once in this time.
+    /// The shortest time between two consultations of the decision module; zero for none.
     pub resolution: Duration,
-    /// The longest request or answer head.
+    /// The longest request or response head.
     pub max_head_bytes: usize,
-    /// The most headers in one.
+    /// The most headers in a request or response.
     pub max_headers: usize,
     /// The longest body of a request.
     pub max_request_body_bytes: usize,
-    /// The most that is kept of an incoming request: head, body and the framing between its chunks.
+    /// The most bytes buffered of an incoming request: head, body and the framing between its chunks.
     pub max_request_bytes: usize,
-    /// The longest body of an answer.
+    /// The longest body of a response.
     pub max_response_body_bytes: usize,
-    /// The most that is kept of an answer.
+    /// The most bytes buffered of one response.
     pub max_response_bytes: usize,
-    /// What the answers that are longer than a request may be hold together.
+    /// The most bytes buffered of all the responses together that are longer than `max_request_bytes`.
     pub max_long_responses_bytes: usize,
-    /// What one read takes from a socket.
+    /// The most bytes that one read takes from a socket.
     pub read_chunk_bytes: usize,
-    /// What the buffers of a connection keep for its next message: idle connections are many.
+    /// The capacity that a connection's buffers retain between messages. Small, as idle connections are many.
     pub retained_buffer_bytes: usize,
-    /// The longest line between chunks.
+    /// The longest line between the chunks of a chunked body.
     pub max_chunk_line_bytes: usize,
-    /// The longest line of discovery.
+    /// The longest line in a response of discovery.
     pub max_discovery_line_bytes: usize,
-    /// Connections that wait to be accepted.
+    /// Connections that the kernel queues until they are accepted.
     pub listen_backlog: i32,
-    /// Caller connections.
+    /// The most caller connections.
     pub max_caller_connections: usize,
-    /// Connections of both sides together.
+    /// The most connections to callers and upstreams together.
     pub max_connections: usize,
-    /// How long accepting rests when the system has no descriptor left.
+    /// How long accepting pauses when the process has no file descriptor left.
     pub accept_pause: Duration,
-    /// A caller connection between requests is kept so long.
+    /// A caller connection between requests is closed after this time.
     pub caller_idle_timeout: Duration,
-    /// A caller has so long to send its first request after connecting, and each later one once begun.
+    /// The time a caller has to send its first request after connecting, and each later one once begun.
     pub caller_request_timeout: Duration,
-    /// A caller connection younger than this is not closed to make room: its request is on its way.
+    /// A caller connection that was opened less than this ago and has sent no request yet is not closed to
+    /// make room, as its first request is probably on its way.
     pub caller_min_age_to_evict: Duration,
-    /// A connection that has had its last answer is read on for so long, so that the answer arrives.
+    /// After its last response a connection is still read from for this time: closing it over unread bytes
+    /// would send a reset, which can destroy the response before the caller reads it.
     pub caller_linger_timeout: Duration,
-    /// And so much of it at a time, so that others have their turn.
+    /// The most bytes that a lingering connection discards in one turn, so that other connections get theirs.
     pub caller_discard_bytes: usize,
-    /// What caller connections may hold of unfinished requests together.
+    /// The most bytes of unfinished requests that all caller connections together may buffer.
     pub max_callers_buffered_bytes: usize,
-    /// And so much one may have read ahead behind a request that waits for its answer: the end of a client that sends
-    /// much and goes lies behind its bytes.
+    /// The most bytes that one connection reads ahead while a request waits for its response. A client that
+    /// sends much and disconnects is only noticed once the bytes before its end of stream have been read.
     pub max_caller_read_ahead_bytes: usize,
     /// How long opening a connection to an upstream may take.
     pub upstream_connect_timeout: Duration,
-    /// An upstream connection between requests is kept so long.
+    /// An upstream connection between requests is closed after this time.
     pub upstream_idle_timeout: Duration,
-    /// Upstream connections idle for less are taken to be open still: one that breaks does so by chance.
+    /// The lower bound of an idle timeout learned from an upstream. A connection that breaks after less idle
+    /// time is taken to have broken by chance.
     pub min_upstream_idle_timeout: Duration,
-    /// A reused connection that breaks within this was closed before, unnoticed.
+    /// A reused connection that breaks within this time of its request is taken to have been closed by the
+    /// upstream before, unnoticed.
     pub upstream_stale_break_window: Duration,
-    /// What that tells of its upstream is believed for so long.
+    /// How long an idle timeout learned from such a break is used for the upstream.
     pub learned_idle_timeout_ttl: Duration,
-    /// An upstream connection rests so long before its next request: a second answer, which would pass for that
-    /// one's, comes some milliseconds after the first.
+    /// How long an upstream connection stays unused after a response. A surplus second response, which would
+    /// be taken for the response to the next request, arrives some milliseconds after the first.
     pub upstream_reuse_delay: Duration,
     /// How long opening a connection to discovery may take.
     pub discovery_connect_timeout: Duration,
-    /// How long discovery may take to answer a watch.
+    /// How long discovery may take to respond to a watch.
     pub discovery_response_timeout: Duration,
-    /// After so long without a whole list or an empty line, one of which comes every 2 s, a watch is given up.
+    /// A watch is abandoned after this time without a whole list or an empty line; discovery sends an empty
+    /// line every 2 s.
     pub discovery_idle_timeout: Duration,
-    /// How often ages are looked at.
+    /// How often the ages of connections and other timed entries are checked.
     pub sweep_interval: Duration,
-    /// After SIGTERM, connections are kept open between requests for so long.
+    /// How long after SIGTERM connections are kept open between requests.
     pub drain_keepalive: Duration,
-    /// And new ones are accepted for so long.
+    /// How long after SIGTERM new connections are accepted.
     pub drain_accept_time: Duration,
-    /// At the end a new connection is given so long for its first request, and the callers for their own end.
+    /// At the end of a shutdown, the time that a new connection has to send its first request, and that
+    /// callers have to close their side.
     pub drain_linger: Duration,
-    /// What is taken after SIGTERM is answered within so long of it: SIGKILL may follow.
+    /// A request accepted after SIGTERM is answered within this time of the signal, as SIGKILL may follow.
     pub drain_response_time: Duration,
-    /// How often a file of nodes is looked at; it is read once it has been the same at two looks.
+    /// How often a file of nodes is checked for changes. It is read once two consecutive checks found it
+    /// unchanged.
     pub nodes_poll_interval: Duration,
-    /// A configuration file younger than this may still be being written: it is read once it has rested so long,
+    /// A configuration file modified less than this time ago may still be being written, and is not read yet.
     pub reload_settle_time: Duration,
-    /// and refused if it never does within this.
+    /// A reload is refused if the file is still being modified after this time.
     pub reload_settle_timeout: Duration,
-    /// Log lines that may wait to be written; past them lines are dropped.
+    /// The most log lines that wait to be written; further lines are dropped.
     pub log_queue_lines: usize,
-    /// Connections to the admin address at once; a newer one closes the oldest. Their descriptors are kept apart
-    /// from `connections`.
+    /// The most concurrent connections to the admin address; a newer one closes the oldest. Their descriptors
+    /// are not counted in `max_connections`.
     pub max_admin_connections: usize,
-    /// An admin call is owed its answer within this of connecting (the operators' page: 1 s); then it gets 408.
+    /// An admin call is answered within this time of connecting, or else with status 408. The operators' page
+    /// promises 1 s.
     pub admin_call_timeout: Duration,
-    /// After `PUT /healthcheck/fail`, connections between requests are closed from this on: the front stops
-    /// sending new ones 0.2 s after its first no, and asks every 0.1 s.
+    /// How long after `PUT /healthcheck/fail` connections between requests are kept open. The front checks
+    /// health every 0.1 s, and stops sending new connections 0.2 s after the first failed check.
     pub admin_drain_keepalive: Duration,
 }
 
-/// What the limits of a process follow from.
+/// The values from which the limits of a process are computed.
 struct LimitInputs {
     descriptors: usize,
     memory_mb: usize,
     resolution: Duration,
-    /// After SIGTERM: until when what is taken is answered, and for how long connections are kept between requests.
+    /// How long after SIGTERM accepted requests are answered.
     drain_response_time: Duration,
+    /// How long after SIGTERM connections are kept open between requests.
     drain_keepalive: Duration,
     upstream_connect_timeout: Duration,
     upstream_idle_timeout: Duration,
-    /// For how long after it was told what binds may still be broken.
+    /// How long the process may still send to a draining upstream after it was notified of the drain.
     drain_grace: Duration,
-    /// An admin address is served.
+    /// Whether the process serves an admin address.
     has_admin_listener: bool,
 }
 
-fn time(m: Micros) -> Duration {
-    Duration::from_micros(m.0.max(0) as u64)
+fn duration(micros: Micros) -> Duration {
+    Duration::from_micros(micros.0.max(0) as u64)
 }
 
 impl Limits {
-    /// The limits that follow from the platform's configuration.
+    /// Computes the limits from the platform's configuration.
     pub fn from_platform(config: &Config) -> Limits {
-        // SIGKILL follows SIGTERM no sooner than the longest deadline, taken as 3 s at the most, and 0.7 s.
-        let deadlines = config.site.settings.classes.iter().map(|c| time(c.deadline));
+        // SIGKILL follows SIGTERM no sooner than the longest deadline, counted up to 3 s, plus 0.7 s later.
+        let deadlines = config.site.settings.classes.iter().map(|class| duration(class.deadline));
         let longest = deadlines.max().unwrap_or_default().min(Duration::from_secs(3));
-        let drain_answer = longest + Duration::from_millis(500);
+        let drain_response_time = longest + Duration::from_millis(500);
         Limits::from(LimitInputs {
             descriptors: config.max_descriptors,
             memory_mb: config.memory_mb,
-            resolution: time(config.site.settings.resolution),
-            drain_response_time: drain_answer,
-            drain_keepalive: drain_keep(config.site.settings.instances, drain_answer),
-            upstream_connect_timeout: config.dial_timeout.map_or(Duration::from_millis(250), time),
-            upstream_idle_timeout: time(config.site.settings.idle_close) * 2 / 3,
-            drain_grace: config.drain_grace.map_or(Duration::ZERO, time),
+            resolution: duration(config.site.settings.resolution),
+            drain_response_time,
+            drain_keepalive: drain_keepalive(config.site.settings.instances, drain_response_time),
+            upstream_connect_timeout: config.dial_timeout.map_or(Duration::from_millis(250), duration),
+            upstream_idle_timeout: duration(config.site.settings.idle_close) * 2 / 3,
+            drain_grace: config.drain_grace.map_or(Duration::ZERO, duration),
             has_admin_listener: config.admin_address.is_some(),
         })
     }
 
-    /// The limits that follow from an operator's file. Nothing there says when SIGKILL follows SIGTERM: as is
-    /// common, 30 s are left for the longest request, and callers get 2 s to find another way.
+    /// Computes the limits from an operator's file. The file does not say when SIGKILL follows SIGTERM: as is
+    /// common, the longest request has 30 s left. Callers have 2 s to move to another balancer.
     pub fn from_operator(operator: &OperatorConfig) -> Limits {
-        let deadlines = operator.routes.iter().map(|(r, _)| time(r.deadline.ceiling));
+        let deadlines = operator.routes.iter().map(|(route, _)| duration(route.deadline.ceiling));
         let longest = deadlines.max().unwrap_or_default();
-        let drain_answer =
+        let drain_response_time =
             longest.clamp(Duration::from_secs(3), Duration::from_secs(30)) + Duration::from_millis(500);
         Limits::from(LimitInputs {
             descriptors: operator.max_descriptors,
             memory_mb: operator.memory_mb,
             resolution: Duration::ZERO,
-            drain_response_time: drain_answer,
+            drain_response_time,
             drain_keepalive: Duration::from_secs(2),
             upstream_connect_timeout: Duration::from_millis(250),
             upstream_idle_timeout: Duration::from_secs(40),
@@ -162,32 +171,33 @@
         })
     }
 
-    /// Takes over the times that follow from the settings. Sizes and counts stay: sockets and buffers have them
-    /// already.
-    pub fn update_times(&mut self, of: &Limits) {
-        self.resolution = of.resolution;
-        self.upstream_connect_timeout = of.upstream_connect_timeout;
-        self.upstream_idle_timeout = of.upstream_idle_timeout;
-        self.discovery_idle_timeout = of.discovery_idle_timeout;
-        self.drain_keepalive = of.drain_keepalive;
-        self.drain_accept_time = of.drain_accept_time;
-        self.drain_response_time = of.drain_response_time;
+    /// Takes over the times of `newer` that depend on the settings, after a reload. Sizes and counts stay as
+    /// they are, because open sockets and buffers already use them.
+    pub fn update_times(&mut self, newer: &Limits) {
+        self.resolution = newer.resolution;
+        self.upstream_connect_timeout = newer.upstream_connect_timeout;
+        self.upstream_idle_timeout = newer.upstream_idle_timeout;
+        self.discovery_idle_timeout = newer.discovery_idle_timeout;
+        self.drain_keepalive = newer.drain_keepalive;
+        self.drain_accept_time = newer.drain_accept_time;
+        self.drain_response_time = newer.drain_response_time;
     }
 
-    fn from(basis: LimitInputs) -> Limits {
-        let admin_connections = if basis.has_admin_listener { 8 } else { 0 };
-        // The admin listener and its connections come off what clients and upstreams may hold.
-        let connections = max_connections(basis.descriptors)
-            .saturating_sub(admin_connections + usize::from(basis.has_admin_listener));
+    fn from(inputs: LimitInputs) -> Limits {
+        let admin_connections = if inputs.has_admin_listener { 8 } else { 0 };
+        // The descriptors of the admin listener and its connections are subtracted from those of clients and
+        // upstreams.
+        let connections = max_connections(inputs.descriptors)
+            .saturating_sub(admin_connections + usize::from(inputs.has_admin_listener));
         Limits {
-            resolution: basis.resolution,
+            resolution: inputs.resolution,
             max_head_bytes: 16 << 10,
             max_headers: 64,
             max_request_body_bytes: 64 << 10,
             max_request_bytes: 96 << 10,
             max_response_body_bytes: 1 << 20,
             max_response_bytes: (1 << 20) + (64 << 10),
-            max_long_responses_bytes: (basis.memory_mb << 20) / 8,
+            max_long_responses_bytes: (inputs.memory_mb << 20) / 8,
             read_chunk_bytes: 16 << 10,
             retained_buffer_bytes: 4 << 10,
             max_chunk_line_bytes: 4 << 10,
@@ -201,22 +211,22 @@
             caller_min_age_to_evict: Duration::from_millis(100),
             caller_linger_timeout: Duration::from_secs(2),
             caller_discard_bytes: 256 << 10,
-            max_callers_buffered_bytes: (basis.memory_mb << 20) / 8,
+            max_callers_buffered_bytes: (inputs.memory_mb << 20) / 8,
             max_caller_read_ahead_bytes: 1 << 20,
-            upstream_connect_timeout: basis.upstream_connect_timeout,
-            upstream_idle_timeout: basis.upstream_idle_timeout,
+            upstream_connect_timeout: inputs.upstream_connect_timeout,
+            upstream_idle_timeout: inputs.upstream_idle_timeout,
             min_upstream_idle_timeout: Duration::from_millis(50),
             upstream_stale_break_window: Duration::from_millis(20),
             learned_idle_timeout_ttl: Duration::from_secs(30),
             upstream_reuse_delay: Duration::from_millis(20),
-            discovery_connect_timeout: DISCOVERY_CONNECT,
+            discovery_connect_timeout: DISCOVERY_CONNECT_TIMEOUT,
             discovery_response_timeout: Duration::from_millis(3500),
-            discovery_idle_timeout: discovery_silence(basis.drain_grace),
+            discovery_idle_timeout: discovery_idle_timeout(inputs.drain_grace),
             sweep_interval: Duration::from_millis(250),
-            drain_keepalive: basis.drain_keepalive,
-            drain_accept_time: basis.drain_keepalive + Duration::from_millis(200),
+            drain_keepalive: inputs.drain_keepalive,
+            drain_accept_time: inputs.drain_keepalive + Duration::from_millis(200),
             drain_linger: Duration::from_millis(250),
-            drain_response_time: basis.drain_response_time,
+            drain_response_time: inputs.drain_response_time,
             nodes_poll_interval: Duration::from_millis(250),
             reload_settle_time: Duration::from_millis(50),
             reload_settle_timeout: Duration::from_secs(2),
@@ -228,31 +238,34 @@
     }
 }
 
-const DISCOVERY_CONNECT: Duration = Duration::from_secs(1);
+/// How long opening a connection to discovery may take.
+const DISCOVERY_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When silence ends a watch. What a silent watch misses counts as told [`TOLD_AFTER`] since it fell silent, and binds once the
-/// grace is over. By then there has to be time for a new call, for one whose connection never comes up before it,
-/// the module's pauses before both (0.5 s each at the most), and for 1 s until the answer.
-fn discovery_silence(grace: Duration) -> Duration {
-    const PAUSES_AND_ANSWER: Duration = Duration::from_secs(2);
-    let left = TOLD_AFTER + grace - PAUSES_AND_ANSWER - DISCOVERY_CONNECT;
-    // Never so soon that an empty line which is a little late passes for silence.
+/// Computes after how long without data a watch is abandoned. Changes that a stalled watch misses are treated
+/// as known [`TOLD_AFTER`] after its last data, and are binding once the grace period is over. Until then
+/// there has to be time for a new call, for a call before it whose connection is never established, for the
+/// module's pauses before both (at most 0.5 s each), and 1 s for the response.
+fn discovery_idle_timeout(grace: Duration) -> Duration {
+    const PAUSES_AND_RESPONSE: Duration = Duration::from_secs(2);
+    let left = TOLD_AFTER + grace - PAUSES_AND_RESPONSE - DISCOVERY_CONNECT_TIMEOUT;
+    // The lower bound tolerates an empty line that arrives a little late.
     left.clamp(Duration::from_millis(2500), Duration::from_millis(4500))
 }
 
-/// How long connections are kept between requests after SIGTERM. Clients of several balancers find another one, and
-/// the sooner they do, the more of their requests are served. To those of the only one nothing is left but the
-/// connections that they have: it keeps them for as long as an answer still comes in time.
-fn drain_keep(instances: u32, answer: Duration) -> Duration {
+/// Computes how long connections are kept open between requests after SIGTERM. Where there are several
+/// balancers, clients move to another one, and more of their requests are served the sooner they do. Clients
+/// of a single balancer have nothing but their open connections: it keeps these for as long as a response can
+/// still arrive in time.
+fn drain_keepalive(instances: u32, response_time: Duration) -> Duration {
     if instances > 1 {
-        answer.mul_f64(0.6)
+        response_time.mul_f64(0.6)
     } else {
-        answer.saturating_sub(Duration::from_millis(400)).max(answer.mul_f64(0.6))
+        response_time.saturating_sub(Duration::from_millis(400)).max(response_time.mul_f64(0.6))
     }
 }
 
-/// The connections that so many descriptors leave room for: the rest is for listeners, loop, signals, discovery,
-/// standard streams and what is about to close.
+/// Computes how many connections a process with this many file descriptors may have. The rest is reserved for
+/// listeners, the event loop, signals, discovery, the standard streams and sockets that are about to close.
 pub fn max_connections(descriptors: usize) -> usize {
     descriptors - (descriptors / 16).max(24).min(descriptors)
 }
--- a/crates/config/src/limits_tests.rs
+++ b/crates/config/src/limits_tests.rs
@@ -1,13 +1,17 @@
-//! Tests of the limits: which of them the only balancer needs at a planned restart.
+//! Tests of the limits: how long a single balancer keeps connections at a planned restart.
 
 use super::*;
 
-/// Guards against an only balancer that closes, at a planned restart, connections in whose place clients get
-/// none; and against answers that come after the kill.
+/// At a planned restart, a single balancer that closes connections early leaves its clients without any, and
+/// one that closes them too late sends responses after SIGKILL. It keeps them for longer than one of several
+/// does, but not until the last response is due.
 #[test]
-fn the_only_balancer_keeps_its_connections_for_longest() {
-    let answer = Duration::from_millis(3500);
-    let (only, several) = (drain_keep(1, answer), drain_keep(2, answer));
-    assert!(only > several && only < answer, "{only:?} {several:?}");
-    assert_eq!(drain_keep(1, Duration::from_millis(500)), drain_keep(2, Duration::from_millis(500)));
+fn a_single_balancer_keeps_connections_longest_during_drain() {
+    let response_time = Duration::from_millis(3500);
+    let (single, several) = (drain_keepalive(1, response_time), drain_keepalive(2, response_time));
+    assert!(single > several && single < response_time, "{single:?} {several:?}");
+    assert_eq!(
+        drain_keepalive(1, Duration::from_millis(500)),
+        drain_keepalive(2, Duration::from_millis(500))
+    );
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform tells a balancer: the environment, the settings and the host lists, decoded once into the
-//! few values that the program uses. Whatever is wrong with them is said here, with the name of the key.
+//! Decodes the platform's configuration of a balancer (environment, settings and host lists) into the values
+//! that the program uses. Errors name the key at fault.
 
 use garnettally_model::*;
 use serde::de::IgnoredAny;
@@ -7,7 +7,7 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// The settings as they are written, with their names and units.
+/// The platform's settings in their external form; the fields have the names and units of the keys.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct PlatformSettings<'a> {
@@ -60,6 +60,7 @@
     }
 }
 
+/// The guarantees of the platform about discovery, servers and keys.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct Contract {
@@ -72,6 +73,7 @@
     pub(crate) drain_binds_alone: Option<bool>,
 }
 
+/// A class of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Grade<'a> {
@@ -99,12 +101,14 @@
     pub(crate) keep_order: Option<bool>,
 }
 
+/// The prices of attempts, as shares of a request's worth.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct Tariffs {
     pub(crate) cross_zone: Option<f64>,
 }
 
+/// What a balancer may do: cancel, retry, hedge, advise clients, and within which times and counts.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct SettingsLimits {
@@ -117,6 +121,7 @@
     pub(crate) dial_timeout_us: Option<i64>,
 }
 
+/// A tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Realm<'a> {
@@ -127,91 +132,92 @@
 }
 
 impl PlatformSettings<'_> {
-    /// Checks the settings and turns them into the module's; the message names the key at fault.
+    /// Checks the settings and converts them to those of the decision module. The error names the key at
+    /// fault.
     pub fn site(&self) -> Result<Site, String> {
-        let f = self;
-        check(f)?;
-        let base = Settings::default();
-        let mut zones: Vec<String> = f.azs.iter().map(|z| z.to_string()).collect();
-        let mut kinds: Vec<String> = f.kinds.iter().map(|k| k.to_string()).collect();
+        check(self)?;
+        let defaults = Settings::default();
+        let mut zones: Vec<String> = self.azs.iter().map(|z| z.to_string()).collect();
+        let mut kinds: Vec<String> = self.kinds.iter().map(|k| k.to_string()).collect();
         let ids = |names: &Option<Vec<Cow<'_, str>>>, known: &mut Vec<String>| {
             names.iter().flatten().map(|n| dense(known, n)).collect()
         };
-        let classes = f.grades.iter().map(|g| Class {
-            aim: Micros(g.slo_us),
-            aim_stretch: g.aim_stretch.unwrap_or(0.0),
-            deadline: Micros(g.hard_limit_us),
-            effect: effect(g),
-            worth: g.worth.unwrap_or(1.0),
-            late_worth: g.late_worth.unwrap_or(0.0),
-            only_kinds: ids(&g.bound_to, &mut kinds),
-            only_zones: ids(&g.stays_in, &mut zones),
-            keep_order: g.keep_order.unwrap_or(false),
+        let classes = self.grades.iter().map(|grade| Class {
+            aim: Micros(grade.slo_us),
+            aim_stretch: grade.aim_stretch.unwrap_or(0.0),
+            deadline: Micros(grade.hard_limit_us),
+            effect: effect(grade),
+            worth: grade.worth.unwrap_or(1.0),
+            late_worth: grade.late_worth.unwrap_or(0.0),
+            only_kinds: ids(&grade.bound_to, &mut kinds),
+            only_zones: ids(&grade.stays_in, &mut zones),
+            keep_order: grade.keep_order.unwrap_or(false),
         });
         let classes: Vec<Class> = classes.collect();
         let settings = Settings {
-            instances: f.n_instances,
-            tier: f.tier,
-            me: f.me,
-            resolution: f.resolution_us.map_or(base.resolution, Micros),
-            idle_close: f.limits.idle_close_us.map_or(base.idle_close, Micros),
-            crossing_price: f.tariffs.cross_zone.unwrap_or(0.0),
-            zone: dense(&mut zones, &f.az),
+            instances: self.n_instances,
+            tier: self.tier,
+            me: self.me,
+            resolution: self.resolution_us.map_or(defaults.resolution, Micros),
+            idle_close: self.limits.idle_close_us.map_or(defaults.idle_close, Micros),
+            crossing_price: self.tariffs.cross_zone.unwrap_or(0.0),
+            zone: dense(&mut zones, &self.az),
             classes,
-            tenant_quota: f.realms.iter().map(|r| r.quota_rps.unwrap_or(f64::INFINITY)).collect(),
-            over_share_worth: f.over_share_worth.unwrap_or(1.0),
-            worth_by_work: f.worth_by == "work",
-            must_ask: f.registry_mode == "on_request",
-            ask_within: f.contract.ask_within_us.map_or(base.ask_within, Micros),
+            tenant_quota: self.realms.iter().map(|r| r.quota_rps.unwrap_or(f64::INFINITY)).collect(),
+            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            worth_by_work: self.worth_by == "work",
+            must_ask: self.registry_mode == "on_request",
+            ask_within: self.contract.ask_within_us.map_or(defaults.ask_within, Micros),
             list_lease: None,
-            units_tell_size: f.weight_kind != "none",
-            parallel_tries: f.limits.parallel_tries,
-            may_cancel: f.limits.may_cancel,
-            max_attempts: f.limits.send_cap.unwrap_or(base.max_attempts),
-            retry_after: f.limits.retry_after,
-            max_retry_after: f.limits.max_retry_after_us.map_or(base.max_retry_after, Micros),
-            cold_share: f.contract.cold_share.unwrap_or(base.cold_share),
-            ramp_time: f.contract.ramp_time_us.map_or(base.ramp_time, Micros),
-            tip_after: f.contract.tip_after_us.map_or(base.tip_after, Micros),
-            key_rest: f.contract.key_rest_us.map_or(base.key_rest, Micros),
-            drain_binds_alone: f.contract.drain_binds_alone.unwrap_or(false),
+            units_tell_size: self.weight_kind != "none",
+            parallel_tries: self.limits.parallel_tries,
+            may_cancel: self.limits.may_cancel,
+            max_attempts: self.limits.send_cap.unwrap_or(defaults.max_attempts),
+            retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after_us.map_or(defaults.max_retry_after, Micros),
+            cold_share: self.contract.cold_share.unwrap_or(defaults.cold_share),
+            ramp_time: self.contract.ramp_time_us.map_or(defaults.ramp_time, Micros),
+            tip_after: self.contract.tip_after_us.map_or(defaults.tip_after, Micros),
+            key_rest: self.contract.key_rest_us.map_or(defaults.key_rest, Micros),
+            drain_binds_alone: self.contract.drain_binds_alone.unwrap_or(false),
         };
-        let classes = f.grades.iter().map(|g| g.name.to_string()).collect();
-        let tenants = f.realms.iter().map(|r| r.name.to_string()).collect();
+        let classes = self.grades.iter().map(|g| g.name.to_string()).collect();
+        let tenants = self.realms.iter().map(|r| r.name.to_string()).collect();
         let names = Names::new(classes, tenants, zones, kinds);
         Ok(Site { settings, names })
     }
 }
 
-/// What decoding alone does not find.
-fn check(f: &PlatformSettings<'_>) -> Result<(), String> {
-    let wrong = |key: String, what: &str| Err(format!("settings.{key}: {what}"));
-    if f.n_instances == 0 {
-        return wrong("NInstances".into(), "must be 1 or more");
+/// Checks what decoding does not: the ranges and the known values of settings.
+fn check(settings: &PlatformSettings<'_>) -> Result<(), String> {
+    let error = |key: String, what: &str| Err(format!("settings.{key}: {what}"));
+    if settings.n_instances == 0 {
+        return error("NInstances".into(), "must be 1 or more");
     }
-    if f.limits.send_cap == Some(0) {
-        return wrong("Limits.SendCap".into(), "must be 1 or more");
+    if settings.limits.send_cap == Some(0) {
+        return error("Limits.SendCap".into(), "must be 1 or more");
     }
-    if f.resolution_us.is_some_and(|r| r < 0) {
-        return wrong("ResolutionUs".into(), "must not be negative");
+    if settings.resolution_us.is_some_and(|r| r < 0) {
+        return error("ResolutionUs".into(), "must not be negative");
     }
-    for (i, g) in f.grades.iter().enumerate() {
-        if g.name.is_empty() {
-            return wrong(format!("Grades[{i}].Name"), "must not be empty");
+    for (i, grade) in settings.grades.iter().enumerate() {
+        if grade.name.is_empty() {
+            return error(format!("Grades[{i}].Name"), "must not be empty");
         }
-        if g.slo_us <= 0 {
-            return wrong(format!("Grades[{i}].SloUs"), "must be above 0");
+        if grade.slo_us <= 0 {
+            return error(format!("Grades[{i}].SloUs"), "must be above 0");
         }
-        if g.hard_limit_us < g.slo_us {
-            return wrong(format!("Grades[{i}].HardLimitUs"), "must not be below SloUs");
+        if grade.hard_limit_us < grade.slo_us {
+            return error(format!("Grades[{i}].HardLimitUs"), "must not be below SloUs");
         }
-        if !matches!(&*g.semantics, "safe" | "keyed" | "unsafe") {
-            return wrong(format!("Grades[{i}].Semantics"), "must be safe, keyed or unsafe");
+        if !matches!(&*grade.semantics, "safe" | "keyed" | "unsafe") {
+            return error(format!("Grades[{i}].Semantics"), "must be safe, keyed or unsafe");
         }
     }
     Ok(())
 }
 
+/// A host list in its external form.
 #[derive(Deserialize)]
 struct RawList<'a> {
     seq: u64,
@@ -220,6 +226,7 @@
     hosts: Vec<RawHost<'a>>,
 }
 
+/// An entry of a host list in its external form.
 #[derive(Deserialize)]
 struct RawHost<'a> {
     #[serde(borrow)]
@@ -240,13 +247,14 @@
     born_ms: Option<i64>,
 }
 
-/// Decodes one list as the platform's discovery writes it.
+/// Decodes one host list in the form that the platform's discovery sends.
 pub fn decode_host_list(json: &[u8]) -> Result<HostList, String> {
     host_list(from_json(json)?)
 }
 
-/// Takes the lists that are whole off the front of `text`, however they are laid out: on one line or on many, several
-/// on one. What is not whole yet stays. The lists before a value that makes no sense are good; the error is about it.
+/// Removes all complete host lists from the front of `text`, whether a list spans several lines or a line has
+/// several lists. An incomplete list stays in `text`. After an error, which is about the first value that
+/// can't be decoded, the lists before that value are valid.
 pub fn drain_host_lists(text: &mut Vec<u8>) -> (Vec<HostList>, Result<(), String>) {
     let (mut lists, mut used) = (Vec::new(), 0);
     let mut values = serde_json::Deserializer::from_slice(text).into_iter::<IgnoredAny>();
@@ -274,64 +282,66 @@
 
 fn host_list(raw: RawList<'_>) -> Result<HostList, String> {
     let mut hosts = Vec::with_capacity(raw.hosts.len());
-    for (i, h) in raw.hosts.into_iter().enumerate() {
-        let state = match &*h.health {
+    for (i, entry) in raw.hosts.into_iter().enumerate() {
+        let state = match &*entry.health {
             "SERVING" => Listed::Ready,
             "DRAINING" => Listed::Draining,
             "DELETED" => Listed::Gone,
             other => return Err(format!("hosts[{i}].health: unknown state {other:?}")),
         };
-        let dial = h.dial.as_deref().map(str::parse::<SocketAddr>);
+        let dial = entry.dial.as_deref().map(str::parse::<SocketAddr>);
         let dial = match (dial, state) {
             (Some(Ok(addr)), _) => Some(addr),
             (_, Listed::Gone) => None,
             _ => return Err(format!("hosts[{i}].dial: not an address with a port")),
         };
         let listing = Listing {
-            name: h.host.into_owned(),
-            zone: h.site.map(Cow::into_owned),
-            kind: h.class.map(Cow::into_owned),
-            cell: h.block.unwrap_or(0),
+            name: entry.host.into_owned(),
+            zone: entry.site.map(Cow::into_owned),
+            kind: entry.class.map(Cow::into_owned),
+            cell: entry.block.unwrap_or(0),
             state,
-            units: h.share.unwrap_or(1.0),
-            since: h.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
+            units: entry.share.unwrap_or(1.0),
+            since: entry.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
         };
         hosts.push((listing, dial));
     }
     Ok(HostList { seq: raw.seq, whole: raw.whole, hosts })
 }
 
-/// All that one balancer is told at its start.
+/// The configuration of one balancer that the platform starts.
 pub struct Config {
-    /// Its name.
+    /// The name of this balancer.
     pub name: String,
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen_address: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// Where operators call (`GW_ADMIN_ADDR`, else `admin_addr`); `None`: nowhere.
+    /// The admin address, where operators call (`GW_ADMIN_ADDR`, else `admin_addr`); `None` serves none.
     pub admin_address: Option<SocketAddr>,
-    /// Where the file alone says so: a change here is followed while the program runs, which no change of the
-    /// environment can reach.
+    /// The address of discovery if the file has it. A reload applies a change of this value; the environment
+    /// of a running process can't change.
     pub discovery_address_in_file: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Memory that the process may use.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The list as this balancer last had it.
+    /// The host list that this balancer used last, before its start.
     pub known_hosts: HostList,
-    /// The module's settings.
+    /// The decision module's settings, and the names behind their numbers.
     pub site: Site,
-    /// How long a connection to an upstream may take.
+    /// How long opening a connection to an upstream may take; `None` leaves it to the default.
     pub dial_timeout: Option<Micros>,
-    /// How long after being told that an upstream drains something new may still go there.
+    /// How long the balancer may still send new requests to a draining upstream after it was notified of the
+    /// drain.
     pub drain_grace: Option<Micros>,
-    /// Every attempt and every request gets a line in the log.
+    /// Whether the log has a line for every attempt and every request.
     pub debug_logging: bool,
 }
 
+/// The configuration file in its external form.
 #[derive(Deserialize)]
 struct RawConfig<'a> {
     #[serde(borrow, default)]
@@ -352,6 +362,7 @@
     settings: PlatformSettings<'a>,
 }
 
+/// The resources that the process may use, in its external form.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct RawLimits {
@@ -360,17 +371,18 @@
 }
 
 impl Config {
-    /// Reads the process's environment and the file that it names; for the start and for every reload.
+    /// Reads the process's environment and the configuration file that it names. Used at start and for every
+    /// reload.
     pub fn from_environment() -> Result<Config, String> {
         Config::read(|name| std::env::var(name).ok())
     }
 
-    /// Reads these variables and the file that they name.
+    /// Reads the variables that `var` returns and the configuration file that they name.
     fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let path = var("GW_CONFIG").ok_or("GW_CONFIG: not set; it names the configuration file")?;
         let text = std::fs::read(&path).map_err(|e| format!("GW_CONFIG: {path}: {e}"))?;
         let raw: RawConfig<'_> = from_json(&text).map_err(|e| format!("{path}: {e}"))?;
-        // The environment goes before the file.
+        // A variable of the environment takes precedence over the file.
         let either = |env: &str, key: &str, value: &Option<Cow<'_, str>>| {
             let value = var(env).or_else(|| value.as_deref().map(str::to_string));
             value.filter(|v| !v.is_empty()).ok_or_else(|| format!("{env}: not set, and {path} has no {key}"))
@@ -385,8 +397,9 @@
         let mut site = raw.settings.site().map_err(|e| format!("{path}: {e}"))?;
         site.settings.list_lease = Some(list_lease(&raw.settings));
         if !site.settings.must_ask {
-            // On sockets a list is pushed by a watch, too, and what its agent has counts as told at once: the watch
-            // is asked for at the start and, when it ends, again without a pause.
+            // On sockets a pushed list arrives by a watch, too, and a change counts as known once the
+            // balancer's agent has it. The watch is therefore requested at start and, when it ends, again
+            // without a pause.
             (site.settings.must_ask, site.settings.ask_within) = (true, Micros(0));
         }
         if raw.settings.grades.is_empty() {
@@ -432,36 +445,42 @@
     }
 }
 
-/// For how long a list is as good as a watch: until what it lacks counts as told, whatever settings say. What is decided until
-/// then may wait for a connection, and for a processor: the grace covers that, or else the lease does.
+/// Computes how long a list may be used without a watch: until the changes that it misses count as known,
+/// whatever the settings say. A decision made before then may still wait for a connection and for the
+/// processor. The grace period covers this wait; the lease is shortened by what the grace period does not
+/// cover.
 fn list_lease(settings: &PlatformSettings<'_>) -> Micros {
-    const HELD_UP: Micros = Micros(150_000);
+    /// The longest wait for the processor.
+    const MAX_PROCESSING_DELAY: Micros = Micros(150_000);
     let grace = Micros(settings.contract.drain_grace_us.unwrap_or(0));
     let connecting = Micros(settings.limits.dial_timeout_us.unwrap_or(0));
-    let told_after = Micros(TOLD_AFTER.as_micros() as i64);
-    told_after + (grace - HELD_UP - connecting).min(Micros(0))
+    let known_after = Micros(TOLD_AFTER.as_micros() as i64);
+    known_after + (grace - MAX_PROCESSING_DELAY - connecting).min(Micros(0))
 }
 
+/// Decodes a JSON value. The error names the path of the key at fault.
 fn from_json<'a, T: Deserialize<'a>>(json: &'a [u8]) -> Result<T, String> {
-    let mut from = serde_json::Deserializer::from_slice(json);
-    let value = serde_path_to_error::deserialize(&mut from).map_err(|e| match e.path().to_string() {
-        path if path == "." => e.inner().to_string(),
-        path => format!("{path}: {}", e.inner()),
+    let mut deserializer = serde_json::Deserializer::from_slice(json);
+    let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+        match error.path().to_string() {
+            path if path == "." => error.inner().to_string(),
+            path => format!("{path}: {}", error.inner()),
+        }
     })?;
-    from.end().map_err(|e| e.to_string())?;
+    deserializer.end().map_err(|error| error.to_string())?;
     Ok(value)
 }
 
-fn effect(g: &Grade<'_>) -> Effect {
-    match &*g.semantics {
+fn effect(grade: &Grade<'_>) -> Effect {
+    match &*grade.semantics {
         "safe" => Effect::Safe,
         "keyed" => Effect::Keyed {
-            group: match g.key_scope.as_deref() {
+            group: match grade.key_scope.as_deref() {
                 Some("all") => Group::All,
                 Some("zone") => Group::Zone,
                 _ => Group::Cell,
             },
-            window: Micros(g.window_us.unwrap_or(0)),
+            window: Micros(grade.window_us.unwrap_or(0)),
         },
         _ => Effect::Unsafe,
     }
--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -1,11 +1,12 @@
-//! The operator's file: what is accepted, and that everything wrong is told at once with line, key and remedy.
+//! Tests of the operator's file: which files are accepted, and that all problems of a file are reported
+//! together, each with its line, its key and a remedy.
 
 use garnettally_config::file::{parse, parse_nodes, OperatorConfig, Problems};
 use proptest::prelude::*;
 
 const EXAMPLE: &str = include_str!("../../../deploy/edge.example.toml");
 
-fn problems(text: &str) -> Vec<String> {
+fn problems_of(text: &str) -> Vec<String> {
     match parse("f.toml", text) {
         Ok(_) => Vec::new(),
         Err(Problems(all)) => all.iter().map(|p| p.to_string()).collect(),
@@ -16,7 +17,7 @@
     parse("f.toml", text).unwrap_or_else(|p| panic!("{p}"))
 }
 
-const SMALL: &str = r#"version = 1
+const MINIMAL: &str = r#"version = 1
 [listeners.a]
 address = "127.0.0.1:8080"
 [classes.look]
@@ -38,45 +39,51 @@
 "#;
 
 #[test]
-fn the_full_example_is_accepted_with_its_defaults() {
-    let o = accepted(EXAMPLE);
-    assert_eq!((o.listeners.len(), o.pools.len(), o.routes.len()), (2, 5, 4));
-    let pool = o.pools.iter().find(|p| p.name == "catalog").unwrap();
+fn the_example_file_is_accepted_and_gets_defaults() {
+    let config = accepted(EXAMPLE);
+    assert_eq!((config.listeners.len(), config.pools.len(), config.routes.len()), (2, 5, 4));
+    let pool = config.pools.iter().find(|p| p.name == "catalog").unwrap();
     assert_eq!(pool.site.settings.max_attempts, 4);
-    assert_eq!(pool.site.settings.resolution.0, 0, "no request waits for a grid");
-    let settings = &o.pools.iter().find(|p| p.name == "orders-blue").unwrap().site.settings;
+    assert_eq!(pool.site.settings.resolution.0, 0, "no request waits for a fixed interval");
+    let settings = &config.pools.iter().find(|p| p.name == "orders-blue").unwrap().site.settings;
     assert_eq!((settings.max_attempts, settings.retry_after, settings.parallel_tries), (3, true, true));
 }
 
 #[test]
-fn everything_wrong_is_told_at_once_with_line_key_and_remedy() {
-    let text = SMALL
+fn all_problems_are_reported_together_with_line_key_and_remedy() {
+    let text = MINIMAL
         .replace("address = \"127.0.0.1:8080\"", "adress = \"127.0.0.1:8080\"")
         .replace("repeat = \"safe\"", "repeat = \"sometimes\"")
         .replace("deadline = \"2s\"\nwindow", "deadline = 2\nwindow");
-    let told = problems(&text);
-    assert_eq!(told.len(), 4, "{told:#?}");
-    assert!(told.iter().any(|p| p == "f.toml:2: listeners.a: address is missing; add address"), "{told:#?}");
+    let reported = problems_of(&text);
+    assert_eq!(reported.len(), 4, "{reported:#?}");
     assert!(
-        told.iter().any(|p| p == "f.toml:3: listeners.a.adress: no such key; did you mean address?"),
-        "{told:#?}"
+        reported.iter().any(|p| p == "f.toml:2: listeners.a: address is missing; add address"),
+        "{reported:#?}"
     );
     assert!(
-        told.iter()
+        reported.iter().any(|p| p == "f.toml:3: listeners.a.adress: no such key; did you mean address?"),
+        "{reported:#?}"
+    );
+    assert!(
+        reported
+            .iter()
             .any(|p| p.starts_with("f.toml:5: classes.look.repeat: \"sometimes\" is not known; use one of")),
-        "{told:#?}"
+        "{reported:#?}"
     );
     assert!(
-        told.iter()
+        reported
+            .iter()
             .any(|p| p == "f.toml:11: classes.book.deadline: has the wrong type: 2; it must be string"),
-        "{told:#?}"
+        "{reported:#?}"
     );
 }
 
-/// Each case spoils one thing in a file that is accepted, and names what has to be told of it.
+/// Each case replaces one part of an accepted file by an invalid one, and gives the start of the expected
+/// problem.
 #[test]
-fn what_can_not_be_used_is_refused_by_key() {
-    accepted(SMALL);
+fn invalid_values_are_reported_by_key() {
+    accepted(MINIMAL);
     let cases = [
         ("version = 1", "version = 2", "f.toml:1: version: version 2 is not known; this program reads 1"),
         (
@@ -177,44 +184,47 @@
         ("version = 1", "version = 1\nseed = \"xyz\"", "f.toml:2: seed: is not 16 hex digits"),
     ];
     for (from, to, want) in cases {
-        assert!(SMALL.contains(from), "{from}");
-        let told = problems(&SMALL.replacen(from, to, 1));
-        assert!(told.iter().any(|p| p.starts_with(want)), "{to}\nwanted {want}\ntold {told:#?}");
+        assert!(MINIMAL.contains(from), "{from}");
+        let reported = problems_of(&MINIMAL.replacen(from, to, 1));
+        assert!(
+            reported.iter().any(|p| p.starts_with(want)),
+            "{to}\nexpected {want}\nreported {reported:#?}"
+        );
     }
 }
 
 #[test]
-fn a_list_of_nodes_is_taken_whole_or_not_at_all() {
+fn cut_empty_or_ambiguous_lists_of_nodes_are_refused() {
     let good = "[[nodes]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n[[nodes]]\nname = \"b\"\naddress = \"127.0.0.1:2\"\nstate = \"draining\"\n";
     assert_eq!(parse_nodes("n", good).unwrap().len(), 2);
-    let told = |text: &str| parse_nodes("n", text).unwrap_err().to_string();
-    assert_eq!(told("nodes = []"), "n:1: nodes: lists no node; write one [[nodes]] for each");
-    assert_eq!(told(""), "n:1: nodes is missing; add nodes");
-    assert!(told(&good.replace("\"b\"", "\"a\"")).starts_with("n:5: nodes[1].name: \"a\" stands twice"));
-    // Cut anywhere inside an entry, it is refused; what a cut between two entries leaves can't be told from a whole
-    // file, which is why it is read only once it has stopped changing.
+    let refusal = |text: &str| parse_nodes("n", text).unwrap_err().to_string();
+    assert_eq!(refusal("nodes = []"), "n:1: nodes: lists no node; write one [[nodes]] for each");
+    assert_eq!(refusal(""), "n:1: nodes is missing; add nodes");
+    assert!(refusal(&good.replace("\"b\"", "\"a\"")).starts_with("n:5: nodes[1].name: \"a\" stands twice"));
+    // A list that is cut inside an entry is refused. One that is cut between two entries looks like a
+    // complete file, which is why a file is read only once it has stopped changing.
     for cut in good.find("name = \"b\"").unwrap()..good.find("state").unwrap() - 2 {
         assert!(parse_nodes("n", &good[..cut]).is_err(), "{}", &good[..cut]);
     }
 }
 
-/// Every key of the format stands on the operators' page, and nothing else does.
+/// The operators' page documents each key of the format, and no other keys.
 #[test]
-fn the_page_tells_every_key_of_the_schema() {
+fn the_operators_page_documents_exactly_the_keys_of_the_schema() {
     let page = include_str!("../../../docs/configuration.md");
     let schema = garnettally_config::file::schema();
     let mut keys = std::collections::BTreeSet::new();
-    let mut note = |section: &str, object: &serde_json::Value| {
+    let mut add_keys = |section: &str, object: &serde_json::Value| {
         for name in object["properties"].as_object().into_iter().flatten() {
             keys.insert(format!("{section}.{}", name.0));
         }
     };
-    note("File", &schema);
-    note("NodesFile", &garnettally_config::file::nodes_schema());
+    add_keys("File", &schema);
+    add_keys("NodesFile", &garnettally_config::file::nodes_schema());
     for (name, object) in schema["$defs"].as_object().unwrap() {
-        note(name, object);
+        add_keys(name, object);
     }
-    let mut told = std::collections::BTreeSet::new();
+    let mut documented = std::collections::BTreeSet::new();
     let mut section = String::new();
     for line in page.lines() {
         if let Some(title) = line.strip_prefix("## ") {
@@ -222,24 +232,31 @@
         }
         let row = line.strip_prefix("| `").and_then(|rest| rest.split_once('`'));
         if let Some((key, _)) = row.filter(|_| !section.is_empty()) {
-            told.insert(format!("{section}.{key}"));
+            documented.insert(format!("{section}.{key}"));
         }
     }
-    let missing: Vec<_> = keys.difference(&told).collect();
-    let unknown: Vec<_> = told.difference(&keys).collect();
-    assert!(missing.is_empty() && unknown.is_empty(), "not told: {missing:?}; told but unknown: {unknown:?}");
+    let missing: Vec<_> = keys.difference(&documented).collect();
+    let unknown: Vec<_> = documented.difference(&keys).collect();
+    assert!(
+        missing.is_empty() && unknown.is_empty(),
+        "not documented: {missing:?}; documented but unknown: {unknown:?}"
+    );
     assert!(keys.len() > 60);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// A file cut or spoilt anywhere is accepted or refused, and never ends the process.
+    /// A file that is cut or damaged at any place is accepted or refused, without a panic.
     #[test]
-    fn spoilt_files_do_no_harm(at in 0..EXAMPLE.len(), what in "\\PC{0,8}", cut in any::<bool>()) {
-        let at = (0..=at).rev().find(|&i| EXAMPLE.is_char_boundary(i)).unwrap_or(0);
-        let rest = if cut { "" } else { &EXAMPLE[at..] };
-        if let Err(Problems(all)) = parse("f.toml", &format!("{}{what}{rest}", &EXAMPLE[..at])) {
+    fn damaged_files_are_accepted_or_refused_without_a_panic(
+        position in 0..EXAMPLE.len(),
+        inserted in "\\PC{0,8}",
+        cut in any::<bool>(),
+    ) {
+        let position = (0..=position).rev().find(|&i| EXAMPLE.is_char_boundary(i)).unwrap_or(0);
+        let rest = if cut { "" } else { &EXAMPLE[position..] };
+        if let Err(Problems(all)) = parse("f.toml", &format!("{}{inserted}{rest}", &EXAMPLE[..position])) {
             prop_assert!(!all.is_empty());
             prop_assert!(all.iter().all(|p| !p.message.is_empty()));
         }
@@ -247,21 +264,21 @@
 }
 
 fn with_fleet(keys: &str) -> String {
-    format!("{SMALL}[fleet]\naddress = \"127.0.0.1:7400\"\nname = \"a\"\n{keys}\n")
+    format!("{MINIMAL}[fleet]\naddress = \"127.0.0.1:7400\"\nname = \"a\"\n{keys}\n")
 }
 
 #[test]
-fn a_fleet_has_defaults_and_none_is_none() {
-    assert!(accepted(SMALL).fleet.is_none());
-    let f = accepted(&with_fleet("seeds = [\"127.0.0.1:7401\"]")).fleet.unwrap();
-    assert_eq!((f.advertise, f.seeds.len(), f.ask_peers), (f.address, 1, 3));
-    assert_eq!((f.suspicion_timeout.as_secs(), f.max_age.as_secs(), f.size_floor), (3, 20, 1));
+fn a_fleet_gets_defaults_and_is_absent_without_its_table() {
+    assert!(accepted(MINIMAL).fleet.is_none());
+    let fleet = accepted(&with_fleet("seeds = [\"127.0.0.1:7401\"]")).fleet.unwrap();
+    assert_eq!((fleet.advertise, fleet.seeds.len(), fleet.ask_peers), (fleet.address, 1, 3));
+    assert_eq!((fleet.suspicion_timeout.as_secs(), fleet.max_age.as_secs(), fleet.size_floor), (3, 20, 1));
 }
 
-/// Keys of `[fleet]` that contradict each other get a message that names both.
+/// A problem of two contradictory keys names both.
 #[test]
-fn contradictions_of_a_fleet_name_both_keys() {
-    for (keys, both) in [
+fn problems_of_contradictory_keys_name_both() {
+    for (keys, named) in [
         ("suspicion = \"500ms\"", ["fleet.suspicion", "fleet.probe_period"]),
         ("forget_after = \"4s\"", ["fleet.forget_after", "fleet.suspicion"]),
         ("max_age = \"1s\"", ["fleet.max_age", "fleet.ask_every"]),
@@ -269,13 +286,19 @@
         ("seeds = [\"192.0.2.7:7400\"]", ["fleet.seeds", "fleet.key_file"]),
         ("advertise = \"192.0.2.7:7400\"", ["fleet.advertise", "fleet.key_file"]),
     ] {
-        let told = problems(&with_fleet(keys));
-        assert!(told.iter().any(|p| both.iter().all(|k| p.contains(k))), "{keys}: {told:#?}");
+        let reported = problems_of(&with_fleet(keys));
+        assert!(reported.iter().any(|p| named.iter().all(|k| p.contains(k))), "{keys}: {reported:#?}");
     }
-    let told = problems(&with_fleet("").replace("127.0.0.1:7400", "0.0.0.0:7400"));
-    assert!(told.iter().any(|p| p.contains("fleet.advertise") && p.contains("fleet.address")), "{told:#?}");
-    let told = problems(&with_fleet("").replace("name = \"a\"\n", ""));
-    assert!(told.iter().any(|p| p.contains("fleet.name and name")), "{told:#?}");
-    let told = problems(&format!("{SMALL}[admin]\naddress = \"127.0.0.1:8080\"\n"));
-    assert!(told.iter().any(|p| p.contains("admin.address") && p.contains("listeners.a")), "{told:#?}");
+    let reported = problems_of(&with_fleet("").replace("127.0.0.1:7400", "0.0.0.0:7400"));
+    assert!(
+        reported.iter().any(|p| p.contains("fleet.advertise") && p.contains("fleet.address")),
+        "{reported:#?}"
+    );
+    let reported = problems_of(&with_fleet("").replace("name = \"a\"\n", ""));
+    assert!(reported.iter().any(|p| p.contains("fleet.name and name")), "{reported:#?}");
+    let reported = problems_of(&format!("{MINIMAL}[admin]\naddress = \"127.0.0.1:8080\"\n"));
+    assert!(
+        reported.iter().any(|p| p.contains("admin.address") && p.contains("listeners.a")),
+        "{reported:#?}"
+    );
 }
