--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -1,9 +1,9 @@
-//! The admin address: operators' calls, one to a connection, beside the clients and apart from them
-//! (docs/design/admin.md). Its connections hold nothing of the callers' budgets and are bounded by a count of
-//! their own, so that no crowd of clients, nor callers that never finish a call, can starve it.
+//! The admin address (docs/design/admin.md): it serves operators' calls, one per connection, separately from
+//! clients. Its connections take no part of the callers' budgets and have a limit of their own, so that
+//! neither an overload of clients nor callers that never complete a call can starve it.
 
 use crate::callers::{accept, Accepted};
-use crate::http::{write_answer, Outgoing};
+use crate::http::{write_response, OutgoingResponse};
 use crate::pools::Pool;
 use crate::socket_errors::AcceptFailure;
 use crate::stats::Gauges;
@@ -18,53 +18,53 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The most that is read of one call: its head; a body is read and thrown away.
-const CALL_BYTES: usize = 8 << 10;
+/// The maximum size of a call's head. A body is read and discarded.
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// What an operator's call asks.
+/// An operator's call, identified by its method and path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// `GET /healthcheck`: whether this process takes clients.
+pub enum AdminCall {
+    /// `GET /healthcheck`: whether this process accepts clients.
     Health,
-    /// `GET /stats`: the figures.
+    /// `GET /stats`: the metrics.
     Stats,
-    /// `GET /members`: the fleet, where there is one.
+    /// `GET /members`: the members of the fleet, if `[fleet]` is configured.
     Members,
-    /// `GET /duties`: the fleet's duties, where there are any.
+    /// `GET /duties`: the fleet's duties, if any are configured.
     Duties,
-    /// `PUT /duties/DUTY/MEMBER`: an operator wants a duty there; `PUT /duties/DUTY`: anywhere else.
-    Move,
-    /// `PUT /healthcheck/fail`: the drain begins.
-    Fail,
-    /// `PUT /healthcheck/ok`: the drain ends.
-    Ok,
+    /// `PUT /duties/DUTY/MEMBER`: moves a duty to a member; `PUT /duties/DUTY`: moves it to any other member.
+    MoveDuty,
+    /// `PUT /healthcheck/fail`: starts a drain.
+    StartDrain,
+    /// `PUT /healthcheck/ok`: ends the drain.
+    EndDrain,
     /// A path that is not served: 404.
-    Unknown,
-    /// A path that is served, by another method: 405.
+    UnknownPath,
+    /// A path that is served, but not with this method: 405.
     WrongMethod,
 }
 
-/// What a method and a path ask; a query is ignored.
-pub fn route(method: &str, path: &str) -> Call {
+/// Identifies the call by its method and path; a query is ignored.
+pub fn route(method: &str, path: &str) -> AdminCall {
     let path = path.split('?').next().unwrap_or(path);
     let path = if path.len() > 1 { path.trim_end_matches('/') } else { path };
     match (method, path) {
-        ("GET" | "HEAD", "/healthcheck") => Call::Health,
-        ("GET" | "HEAD", "/stats") => Call::Stats,
-        ("GET" | "HEAD", "/members") => Call::Members,
-        ("GET" | "HEAD", "/duties") => Call::Duties,
-        ("PUT", path) if wish(path).is_some() => Call::Move,
-        ("PUT" | "POST", "/healthcheck/fail") => Call::Fail,
-        ("PUT" | "POST", "/healthcheck/ok") => Call::Ok,
+        ("GET" | "HEAD", "/healthcheck") => AdminCall::Health,
+        ("GET" | "HEAD", "/stats") => AdminCall::Stats,
+        ("GET" | "HEAD", "/members") => AdminCall::Members,
+        ("GET" | "HEAD", "/duties") => AdminCall::Duties,
+        ("PUT", path) if duty_and_member(path).is_some() => AdminCall::MoveDuty,
+        ("PUT" | "POST", "/healthcheck/fail") => AdminCall::StartDrain,
+        ("PUT" | "POST", "/healthcheck/ok") => AdminCall::EndDrain,
         (_, "/healthcheck" | "/stats" | "/members" | "/duties" | "/healthcheck/fail" | "/healthcheck/ok") => {
-            Call::WrongMethod
+            AdminCall::WrongMethod
         }
-        _ => Call::Unknown,
+        _ => AdminCall::UnknownPath,
     }
 }
 
-/// The duty, and the member, that a path of `PUT /duties/...` names.
-fn wish(path: &str) -> Option<(&str, Option<&str>)> {
+/// The duty, and the member if there is one, that a path of `PUT /duties/...` names.
+fn duty_and_member(path: &str) -> Option<(&str, Option<&str>)> {
     let (duty, member) = match path.strip_prefix("/duties/")?.split_once('/') {
         Some((duty, member)) => (duty, Some(member)),
         None => (path.strip_prefix("/duties/")?, None),
@@ -72,27 +72,27 @@
     (!duty.is_empty() && member.is_none_or(|m| !m.is_empty())).then_some((duty, member))
 }
 
-/// What is read of a call so far.
+/// The result of parsing the bytes of a call received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// More has to come.
+    /// The head is incomplete.
     Partial,
-    /// The call, whole as far as its head goes.
-    Whole(Call),
-    /// Not HTTP, or too long: 400.
-    Bad,
+    /// The head is complete and contains this call; a body may still follow.
+    Complete(AdminCall),
+    /// The bytes are not HTTP, or the head is too long: 400.
+    Malformed,
 }
 
-/// Reads a call's head.
-pub fn parse(input: &[u8]) -> Parsed {
+/// Parses a call's head.
+pub fn parse_call(input: &[u8]) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(input) {
         Ok(httparse::Status::Complete(_)) => {
-            Parsed::Whole(route(request.method.unwrap_or(""), request.path.unwrap_or("")))
+            Parsed::Complete(route(request.method.unwrap_or(""), request.path.unwrap_or("")))
         }
-        Ok(httparse::Status::Partial) if input.len() < CALL_BYTES => Parsed::Partial,
-        _ => Parsed::Bad,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => Parsed::Partial,
+        _ => Parsed::Malformed,
     }
 }
 
@@ -100,27 +100,31 @@
     socket: Watched,
     input: Vec<u8>,
     output: Vec<u8>,
+    /// The number of bytes of `output` that the socket has accepted.
     written: usize,
-    /// It came up at this time; the whole call is owed within `admin_call` of it.
+    /// When the connection was accepted; the complete call has to arrive within `limits.admin_call` of it.
+    /// Once the response is written: when that was; the caller has to close within the same time.
     since: Instant,
-    /// It has its answer; what it still sends is thrown away until it closes or its time is up.
-    answered: bool,
+    /// The response is written; what the caller still sends is discarded until it closes or its time has
+    /// elapsed.
+    responded: bool,
 }
 
 /// The admin listener and its connections.
 #[derive(Default)]
 pub struct Admin {
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// By number, and so by age.
+    /// The connections by number, which is also their order by age.
     conns: BTreeMap<ConnId, Conn>,
-    /// Since when this process is drained by `PUT /healthcheck/fail`.
-    pub failed_at: Option<Instant>,
-    /// Accepting rests until then: the system had no descriptor, and a level-triggered listener would spin.
-    rest: Option<Instant>,
+    /// When `PUT /healthcheck/fail` started the drain; `None`: this process is not drained by an operator.
+    pub drained_since: Option<Instant>,
+    /// Accepting is paused until then: the system had no descriptor left, and a level-triggered listener
+    /// would spin.
+    paused_until: Option<Instant>,
 }
 
 impl Admin {
-    /// Listens on the admin address; the port that was bound is logged.
+    /// Listens on the admin address and logs the port that was bound.
     pub fn listen(&mut self, net: &Net, address: SocketAddr) -> io::Result<()> {
         let bound = crate::callers::bind(net, address, false)?;
         info!(net.log, "listening"; "listener" => "admin", "address" => %bound.local_addr()?);
@@ -134,23 +138,25 @@
         Ok(())
     }
 
-    /// When the oldest connection's time is up.
+    /// The earliest time at which [`Admin::sweep`] has something to do: a connection's time has elapsed, or
+    /// accepting resumes.
     pub fn next_wake(&self, net: &Net) -> Option<Instant> {
-        let calls = self.conns.values().map(|c| c.since + net.limits.admin_call);
-        calls.chain(self.rest).min()
+        let expiries = self.conns.values().map(|c| c.since + net.limits.admin_call);
+        expiries.chain(self.paused_until).min()
     }
 
-    /// Whether clients' connections are to close after their present request.
+    /// Whether clients' connections have to close after their current request.
     pub fn draining(&self) -> bool {
-        self.failed_at.is_some()
+        self.drained_since.is_some()
     }
 
-    /// Whether idle connections of clients are to close now: the front has stopped sending new ones.
-    pub fn close_idle(&self, net: &Net, now: Instant) -> bool {
-        self.failed_at.is_some_and(|at| now >= at + net.limits.drain_idle)
+    /// Whether idle connections of clients have to close now: by then the load balancer in front has stopped
+    /// sending new ones.
+    pub fn closes_idle(&self, net: &Net, now: Instant) -> bool {
+        self.drained_since.is_some_and(|at| now >= at + net.limits.drain_idle)
     }
 
-    /// Stops listening, at the end.
+    /// Stops listening and closes all connections, at the end of the process.
     pub fn stop(&mut self, net: &Net) {
         if let Some((_, token)) = self.listener.take() {
             net.handle.remove(token);
@@ -160,26 +166,27 @@
         }
     }
 
-    /// Ends the connections whose time is up: an unanswered one gets 408.
+    /// Closes the connections whose time has elapsed; one without a response gets a 408 first. Resumes
+    /// accepting after a pause.
     pub fn sweep(&mut self, net: &Net, now: Instant) {
-        let late: Vec<ConnId> = self
+        let expired: Vec<ConnId> = self
             .conns
             .iter()
             .filter(|(_, c)| now >= c.since + net.limits.admin_call)
             .map(|(&id, _)| id)
             .collect();
-        if self.rest.is_some_and(|at| at <= now) {
-            self.rest = None;
+        if self.paused_until.is_some_and(|at| at <= now) {
+            self.paused_until = None;
             if let Some((_, token)) = &self.listener {
                 let _ = net.handle.enable(token);
             }
         }
-        for id in late {
+        for id in expired {
             if let Some(conn) = self.conns.get_mut(&id) {
-                if conn.answered {
+                if conn.responded {
                     self.drop_conn(net, id);
                 } else {
-                    self.answer(net, id, 408, b"");
+                    self.respond(net, id, 408, b"");
                 }
             }
         }
@@ -191,17 +198,21 @@
         }
     }
 
-    /// Writes an answer and ends the sending; the connection is read on until the caller closes.
-    fn answer(&mut self, net: &Net, id: ConnId, status: u16, body: &[u8]) {
+    /// Writes a response and shuts down the sending side; the connection is read until the caller closes it.
+    fn respond(&mut self, net: &Net, id: ConnId, status: u16, body: &[u8]) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let headers: &[u8] = match body.first() {
             None => b"",
             Some(b'{') => b"Content-Type: application/json\r\n",
             Some(_) => b"Content-Type: text/plain\r\n",
         };
-        write_answer(&mut conn.output, &Outgoing { status, headers, body, bare_length: None }, true);
-        // It lingers once more as long, so that a late answer such as the 408 arrives before the close.
-        (conn.answered, conn.since) = (true, Instant::now());
+        write_response(
+            &mut conn.output,
+            &OutgoingResponse { status, headers, body, length_without_body: None },
+            true,
+        );
+        // The time starts again, so that a late response such as the 408 arrives before the close.
+        (conn.responded, conn.since) = (true, Instant::now());
         if flush(conn).is_err() {
             self.drop_conn(net, id);
         }
@@ -219,24 +230,25 @@
 }
 
 impl Proxy {
-    /// Takes every admin connection that waits; over the count, the oldest gives way.
+    /// Accepts every queued admin connection; above the limit, the oldest connection is closed for a new one.
     fn admin_accept(&mut self) {
         let Some((listener, _)) = &self.admin.listener else { return };
         let listener = listener.clone();
         loop {
             let stream = match accept(&listener) {
                 Accepted::Stream(stream) => stream,
-                // The listener tells again of what waits.
+                // The level-triggered listener reports connections that are still queued again.
                 Accepted::Failed(AcceptFailure::Empty | AcceptFailure::Connection, _) => return,
                 Accepted::Failed(_, e) => {
-                    // Out of descriptors: the oldest admin connection makes room, the call waits in the queue.
-                    warn!(self.net.log, "an admin connection could not be taken"; "error" => %e);
+                    // No descriptor is left: the oldest admin connection is closed to free one, and the new
+                    // connection stays in the queue meanwhile.
+                    warn!(self.net.log, "an admin connection could not be accepted"; "error" => %e);
                     match self.admin.conns.keys().next().copied() {
                         Some(oldest) => self.admin.drop_conn(&self.net, oldest),
                         None => {
                             if let Some((_, token)) = &self.admin.listener {
                                 let _ = self.net.handle.disable(token);
-                                self.admin.rest = Some(Instant::now() + self.net.limits.accept_rest);
+                                self.admin.paused_until = Some(Instant::now() + self.net.limits.accept_rest);
                             }
                             return;
                         }
@@ -258,7 +270,7 @@
                 output: Vec::new(),
                 written: 0,
                 since: Instant::now(),
-                answered: false,
+                responded: false,
             };
             self.admin.conns.insert(id, conn);
         }
@@ -269,74 +281,74 @@
         if flush(conn).is_err() {
             return self.admin.drop_conn(&self.net, id);
         }
-        let reading = self.net.read(&conn.socket.stream, &mut conn.input, CALL_BYTES);
-        if conn.answered {
+        let reading = self.net.read(&conn.socket.stream, &mut conn.input, MAX_HEAD_BYTES);
+        if conn.responded {
             conn.input.clear();
             if reading != Reading::Open && conn.written == conn.output.len() {
                 self.admin.drop_conn(&self.net, id);
             }
             return;
         }
-        let parsed = parse(&conn.input);
+        let parsed = parse_call(&conn.input);
         match (parsed, reading) {
-            (Parsed::Whole(call), _) => {
+            (Parsed::Complete(call), _) => {
                 let input = std::mem::take(&mut conn.input);
                 self.admin_call(id, call, &input);
             }
-            (Parsed::Bad, _) => self.admin.answer(&self.net, id, 400, b""),
+            (Parsed::Malformed, _) => self.admin.respond(&self.net, id, 400, b""),
             (Parsed::Partial, Reading::Open) => {}
             (Parsed::Partial, _) => self.admin.drop_conn(&self.net, id),
         }
     }
 
-    fn admin_call(&mut self, id: ConnId, call: Call, head: &[u8]) {
+    fn admin_call(&mut self, id: ConnId, call: AdminCall, head: &[u8]) {
         let now = Instant::now();
         let (status, body) = match call {
-            Call::Health if self.ready() => (200, b"ok\n".to_vec()),
-            Call::Health => (503, b"no\n".to_vec()),
-            Call::Stats => (200, self.stats_text(now).into_bytes()),
-            Call::Members => match &self.fleet {
+            AdminCall::Health if self.ready() => (200, b"ok\n".to_vec()),
+            AdminCall::Health => (503, b"no\n".to_vec()),
+            AdminCall::Stats => (200, self.stats_text(now).into_bytes()),
+            AdminCall::Members => match &self.fleet {
                 Some(fleet) => (200, fleet.json().to_string().into_bytes()),
                 None => (404, Vec::new()),
             },
-            Call::Duties => match self.fleet.as_ref().and_then(|f| f.duties()) {
+            AdminCall::Duties => match self.fleet.as_ref().and_then(|f| f.duties()) {
                 Some(duties) => (200, duties.to_string().into_bytes()),
                 None => (404, Vec::new()),
             },
-            Call::Move => {
+            AdminCall::MoveDuty => {
                 let line = String::from_utf8_lossy(head);
                 let path = line.split(' ').nth(1).unwrap_or("").split('?').next().unwrap_or("").to_string();
-                let wished = wish(path.trim_end_matches('/')).zip(self.fleet.as_mut());
-                match wished.and_then(|((duty, member), fleet)| fleet.wish(duty, member)) {
+                let target = duty_and_member(path.trim_end_matches('/')).zip(self.fleet.as_mut());
+                match target.and_then(|((duty, member), fleet)| fleet.wish(duty, member)) {
                     Some(Ok(())) => (200, b"told the voters\n".to_vec()),
                     Some(Err(why)) => (409, (why + "\n").into_bytes()),
                     None => (404, Vec::new()),
                 }
             }
-            Call::Fail => {
-                if self.admin.failed_at.is_none() {
+            AdminCall::StartDrain => {
+                if self.admin.drained_since.is_none() {
                     info!(self.net.log, "drained by an operator");
-                    self.admin.failed_at = Some(now);
+                    self.admin.drained_since = Some(now);
                 }
                 (200, b"draining\n".to_vec())
             }
-            Call::Ok => {
-                if self.admin.failed_at.take().is_some() {
+            AdminCall::EndDrain => {
+                if self.admin.drained_since.take().is_some() {
                     info!(self.net.log, "the drain has ended");
                 }
                 (200, b"ok\n".to_vec())
             }
-            Call::Unknown => (404, Vec::new()),
-            Call::WrongMethod => (405, Vec::new()),
+            AdminCall::UnknownPath => (404, Vec::new()),
+            AdminCall::WrongMethod => (405, Vec::new()),
         };
-        self.admin.answer(&self.net, id, status, &body);
+        self.admin.respond(&self.net, id, status, &body);
     }
 }
 
 impl Proxy {
-    /// The figures, one statsd line each (docs/stats.md).
+    /// The metrics, one statsd line each (docs/stats.md).
     fn stats_text(&self, now: Instant) -> String {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let is_stale = |p: &&Pool| {
             p.decisions.list_standing(at).is_some_and(|report| report.standing == ListStanding::Stale)
         };
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -1,7 +1,7 @@
 //! From a request to the class, tenant, key and pool that it gets: by the platform's protocol, or by the routes of
 //! the version in force.
 
-use crate::http::{self, Bad, Request};
+use crate::http::{self, HttpError, Request};
 use crate::pools::PoolId;
 use crate::Proxy;
 use garnettally_config::file::format::LogRequests;
@@ -75,7 +75,7 @@
 /// Why a request can't be taken.
 pub enum Unfit {
     /// It is at fault.
-    Bad(Bad),
+    Bad(HttpError),
     /// There is no room for it, or nowhere that it may go: trying again is harmless.
     Refused { retry_after: Option<Duration>, route: Option<Rc<RouteInForce>> },
 }
@@ -134,18 +134,18 @@
         }
     }
 
-    fn admit_by_protocol(&self, request: &Request) -> Result<Admitted, Bad> {
-        let call = http::call(request)?;
+    fn admit_by_protocol(&self, request: &Request) -> Result<Admitted, HttpError> {
+        let call = http::parse_call(request)?;
         // The newest settings that know the class, served by a pool that is ready; before a new pool has its list,
         // the one of the settings before serves what it knows.
         let knows = |p: &&crate::pools::Pool| !p.leaving && p.decisions.class(call.class).is_some();
         let newest_ready = self.pools.iter().filter(knows).filter(|p| p.ready).last();
-        let pool = newest_ready.or_else(|| self.pools.iter().filter(knows).last()).ok_or(Bad(404))?;
-        let (class, effect) = pool.decisions.class(call.class).ok_or(Bad(404))?;
+        let pool = newest_ready.or_else(|| self.pools.iter().filter(knows).last()).ok_or(HttpError(404))?;
+        let (class, effect) = pool.decisions.class(call.class).ok_or(HttpError(404))?;
         match effect {
-            Effect::Safe if !call.read_only => return Err(Bad(405)),
-            Effect::Keyed { .. } | Effect::Unsafe if call.read_only => return Err(Bad(405)),
-            Effect::Keyed { .. } if !call.keyed => return Err(Bad(400)),
+            Effect::Safe if !call.read_only => return Err(HttpError(405)),
+            Effect::Keyed { .. } | Effect::Unsafe if call.read_only => return Err(HttpError(405)),
+            Effect::Keyed { .. } if !call.keyed => return Err(HttpError(400)),
             _ => {}
         }
         Ok(Admitted {
@@ -173,7 +173,7 @@
         request: &mut Request,
         now: Instant,
     ) -> Result<Admitted, Unfit> {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let id = match &request.id {
             Some(id) if !id.is_empty() => id.clone(),
             _ => {
@@ -190,7 +190,7 @@
             query: request.query(),
             headers: request,
         };
-        let found = version.table.find(&subject).ok_or(Unfit::Bad(Bad(404)))?;
+        let found = version.table.find(&subject).ok_or(Unfit::Bad(HttpError(404)))?;
         let in_force = version.routes[found.route].clone();
         let route = &in_force.route;
         let refused = |retry_after| Unfit::Refused { retry_after, route: Some(in_force.clone()) };
@@ -198,10 +198,11 @@
         let tenant = route.tenant.as_ref().and_then(|s| s.take(&subject, &found.params));
         let key_text = route.key.as_ref().and_then(|s| s.take(&subject, &found.params));
         if matches!(effect, Effect::Keyed { .. }) && key_text.is_none() {
-            return Err(Unfit::Bad(Bad(400)));
+            return Err(Unfit::Bad(HttpError(400)));
         }
-        let deadline = route.deadline.time(&subject, &found.params).map_err(|_| Unfit::Bad(Bad(400)))?;
-        let (cost, repeat) = http::hints(request).map_err(Unfit::Bad)?;
+        let deadline =
+            route.deadline.time(&subject, &found.params).map_err(|_| Unfit::Bad(HttpError(400)))?;
+        let (cost, repeat) = http::parse_hints(request).map_err(Unfit::Bad)?;
         // Keys of one class are one space; what else is hashed is this process's own affair.
         let hashed = |text: &str| stable_hash(self.key_seed ^ u64::from(route.class.0), text.as_bytes());
         let pin = match (effect, &key_text) {
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::Unfit;
 use crate::exchange::Final;
-use crate::http::{self, Bad, Incoming, Outgoing};
+use crate::http::{self, HttpError, Incoming, OutgoingResponse};
 use crate::lease::Lease;
 use crate::pools::Budgets;
 use crate::reasons::CloseReason;
@@ -484,7 +484,7 @@
         // What lies ahead may make it whole.
         let unfinished = |c: &Conn| c.state == State::Reading && !c.input.is_empty() && c.ahead.is_empty();
         if self.callers.conns.get(&id).is_some_and(unfinished) {
-            self.reject_caller(id, Bad(413));
+            self.reject_caller(id, HttpError(413));
         }
     }
 
@@ -513,12 +513,12 @@
             if conn.state != State::Reading || conn.input.is_empty() {
                 return;
             }
-            match http::request(&conn.input, &self.net.limits) {
+            match http::parse_request(&conn.input, &self.net.limits) {
                 Ok(Incoming::Partial { .. }) if conn.input.len() > self.net.limits.message_bytes => {
-                    return self.reject_caller(id, Bad(413));
+                    return self.reject_caller(id, HttpError(413));
                 }
-                Ok(Incoming::Partial { expects }) => {
-                    if expects && !std::mem::replace(&mut conn.continued, true) {
+                Ok(Incoming::Partial { expects_continue }) => {
+                    if expects_continue && !std::mem::replace(&mut conn.continued, true) {
                         conn.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                         if flush(conn).is_err() {
                             self.caller_left(id);
@@ -526,14 +526,14 @@
                     }
                     return;
                 }
-                Ok(Incoming::Whole(request, used)) => {
+                Ok(Incoming::Complete(request, used)) => {
                     conn.input.drain(..used);
                     conn.input.shrink_to(self.net.limits.kept_bytes);
                     (conn.continued, conn.spoke, conn.since) = (false, true, Instant::now());
                     conn.close = !request.keep_alive;
                     if request.path() == "/ready" {
                         let status = if self.ready() { 200 } else { 503 };
-                        self.write_answer(id, &Outgoing { status, ..Outgoing::default() });
+                        self.write_answer(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
                     } else {
                         let listener = conn.listener;
                         match (self.take_request(id, listener, *request), self.callers.conns.get_mut(&id)) {
@@ -552,13 +552,13 @@
     }
 
     /// Answers what can't be taken, then closes: what follows it may be part of it.
-    fn reject_caller(&mut self, id: ConnId, Bad(status): Bad) {
+    fn reject_caller(&mut self, id: ConnId, HttpError(status): HttpError) {
         debug!(self.net.log, "a request was not understood"; "status" => status);
         if let Some(conn) = self.callers.conns.get_mut(&id) {
             conn.close = true;
             conn.drop_input();
         }
-        self.write_answer(id, &Outgoing { status, ..Outgoing::default() });
+        self.write_answer(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
     }
 
     fn write_refusal(&mut self, id: ConnId, retry_after: Option<Duration>) {
@@ -568,7 +568,10 @@
             false => format!("Retry-After: {:.3}\r\n", t.as_secs_f64()),
         });
         let headers = advice.unwrap_or_default();
-        self.write_answer(id, &Outgoing { status: 503, headers: headers.as_bytes(), ..Outgoing::default() });
+        self.write_answer(
+            id,
+            &OutgoingResponse { status: 503, headers: headers.as_bytes(), ..OutgoingResponse::default() },
+        );
     }
 
     /// Gives a request its final answer, and the connection's next request its turn.
@@ -576,9 +579,14 @@
         match answer {
             Final::Passed(a) => {
                 let (status, headers, body) = (a.status, &a.headers[..], &a.body[..]);
-                self.write_answer(id, &Outgoing { status, headers, body, bare_length: a.bare_length });
+                self.write_answer(
+                    id,
+                    &OutgoingResponse { status, headers, body, length_without_body: a.length_without_body },
+                );
+            }
+            Final::Failed => {
+                self.write_answer(id, &OutgoingResponse { status: 502, ..OutgoingResponse::default() })
             }
-            Final::Failed => self.write_answer(id, &Outgoing { status: 502, ..Outgoing::default() }),
             Final::Refused { retry_after } => self.write_refusal(id, retry_after),
         }
         // It may have sent the next one meanwhile.
@@ -588,13 +596,13 @@
     }
 
     /// Writes an answer; then the connection closes, or takes its next request.
-    fn write_answer(&mut self, id: ConnId, answer: &Outgoing<'_>) {
+    fn write_answer(&mut self, id: ConnId, answer: &OutgoingResponse<'_>) {
         let closing = self.shutdown.closing()
             || self.admin.draining()
             || self.callers.conns.get(&id).is_some_and(|conn| self.callers.left(conn));
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
         conn.close |= closing;
-        http::write_answer(&mut conn.output, answer, conn.close);
+        http::write_response(&mut conn.output, answer, conn.close);
         conn.state = if conn.close { State::Lingering } else { State::Reading };
         conn.since = Instant::now();
         if flush(conn).is_err() {
@@ -626,7 +634,7 @@
             }
         }
         for id in slow {
-            self.reject_caller(id, Bad(408));
+            self.reject_caller(id, HttpError(408));
         }
         for id in old {
             self.caller_ready(id); // its next request, or its end, may have come just now
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Where the upstreams come from: a watch on the discovery service. When to ask is the module's decision.
 
 use crate::held_list::{HeldList, Taken};
-use crate::http::{self, Bad, Chunks};
+use crate::http::{self, ChunkDecoder, HttpError};
 use crate::pools::PoolId;
 use crate::socket_errors::is_local_shortage;
 use crate::source::Source;
@@ -20,7 +20,7 @@
     output: Vec<u8>,
     written: usize,
     input: Vec<u8>,
-    chunks: Option<Chunks>,
+    chunks: Option<ChunkDecoder>,
     /// What has come of a list that is not whole yet.
     text: Vec<u8>,
     /// When a list or an empty line came last; `None`: never yet.
@@ -142,7 +142,7 @@
 }
 
 /// An answer that is no 200.
-fn bad_status(bad: Bad) -> BadAnswer {
+fn bad_status(bad: HttpError) -> BadAnswer {
     const SERVICE_UNAVAILABLE: u16 = 503;
     let failure = match bad.0 {
         SERVICE_UNAVAILABLE => CallFailure::Busy,
@@ -204,7 +204,7 @@
             format!("GET /v1/endpoints?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         let deadline = Instant::now() + self.net.limits.discovery_connect;
         info!(self.net.log, "discovery is asked"; "seq" => version, "call" => number);
-        self.stats.discovery_asked();
+        self.stats.record_discovery_call();
         if let Some(discovery) = self.discovery(pool) {
             discovery.watch = Some(Box::new(Watch {
                 number,
@@ -261,7 +261,7 @@
         let silent = ended.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         warn!(self.net.log, "the watch on discovery failed"; "why" => why, "call" => call, "after_ms" => lasted,
             "was_open" => was_open, "silent_ms" => silent.as_millis(), "failure" => ?ended.failure);
-        self.stats.discovery_failed();
+        self.stats.record_discovery_failure();
         self.end_watch(pool);
         if let Some(discovery) = self.discovery(pool) {
             discovery.ended = Some(ended);
@@ -340,17 +340,17 @@
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         if watch.chunks.is_none() {
-            let head = http::stream_head(&watch.input, &limits);
+            let head = http::parse_stream_head(&watch.input, &limits);
             let Some(n) = head.map_err(bad_status)? else { return Ok(()) };
             watch.input.drain(..n);
-            watch.chunks = Some(Chunks::default());
+            watch.chunks = Some(ChunkDecoder::default());
             self.discovery_answers(pool);
         }
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         let Some(chunks) = watch.chunks.as_mut() else { return Ok(()) };
         let before = watch.text.len();
-        let used = chunks.read(&watch.input, limits.line_bytes, &limits, &mut watch.text);
+        let used = chunks.decode(&watch.input, limits.line_bytes, &limits, &mut watch.text);
         let used = used.map_err(|_| BadAnswer::unreadable("its chunks make no sense"))?;
         watch.input.drain(..used);
         let done = chunks.done;
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::{Admitted, Labels, RouteInForce, Unfit, RETURN_AFTER};
 use crate::callers::ListenerId;
-use crate::http::{Answer, Bad, Request};
+use crate::http::{HttpError, Request, Response};
 use crate::lease::Lease;
 use crate::pools::{Pool, PoolId};
 use crate::reasons::RefusalReason;
@@ -19,7 +19,7 @@
 /// The one answer that every request gets.
 pub enum Final<'a> {
     /// An upstream's: served, or turned away for what it is.
-    Passed(&'a Answer),
+    Passed(&'a Response),
     /// Trying again is harmless.
     Refused { retry_after: Option<Duration> },
     /// Nothing is promised.
@@ -106,7 +106,7 @@
 impl Proxy {
     /// Whether a request could be served.
     pub fn ready(&self) -> bool {
-        let now = self.net.clock.at(Instant::now());
+        let now = self.net.clock.unix_time(Instant::now());
         let is_ready = |p: &Pool| p.ready && !p.leaving && p.is_started(now);
         self.pools.iter().any(is_ready) && !self.shutdown.closing() && !self.admin.draining()
     }
@@ -124,7 +124,7 @@
             Err(unfit) => {
                 if let Unfit::Refused { route: Some(r), .. } = &unfit {
                     if let Some(class) = self.version.as_ref().map(|v| v.class(r.route.class).to_string()) {
-                        self.stats.ended(&class, Outcome::Rejected);
+                        self.stats.record_outcome(&class, Outcome::Rejected);
                     }
                 }
                 self.log_unfit(listener, &request, &unfit);
@@ -142,7 +142,7 @@
     ) -> Result<(Admitted, Lease), Unfit> {
         let a = self.admit(request, now)?;
         if self.exchanges.ids.contains(&a.id) {
-            return Err(Unfit::Bad(Bad(400)));
+            return Err(Unfit::Bad(HttpError(400)));
         }
         let holders = self.holders(a.pool, a.route.as_deref(), self.callers.request_holder(listener));
         match self.budgets.requests.take(&holders) {
@@ -178,13 +178,16 @@
         now: Instant,
     ) -> RequestId {
         let micros = |d: Duration| Micros(d.as_micros() as i64);
-        let expires = self.net.clock.at(now) + micros(a.deadline);
+        let expires = self.net.clock.unix_time(now) + micros(a.deadline);
         let number = self.exchanges.number();
         let ask = Ask {
             request: number,
             class: a.class,
             tenant: a.tenant,
-            expires: self.shutdown.answer_by().map_or(expires, |by| expires.min(self.net.clock.at(by))),
+            expires: self
+                .shutdown
+                .answer_by()
+                .map_or(expires, |by| expires.min(self.net.clock.unix_time(by))),
             cost: a.cost.map(micros).filter(|c| c.0 > 0),
             repeat: a.repeat,
             key: a.subject,
@@ -283,7 +286,9 @@
     pub fn may_write(&self, attempt: Attempt) -> bool {
         let now = Instant::now();
         let open = self.exchanges.open.get(&attempt.0).filter(|x| !x.over);
-        open.is_some_and(|x| x.ask.expires > self.net.clock.at(now) && x.repeat_by.is_none_or(|by| now < by))
+        open.is_some_and(|x| {
+            x.ask.expires > self.net.clock.unix_time(now) && x.repeat_by.is_none_or(|by| now < by)
+        })
     }
 
     /// An upstream takes nothing new any more: what has not begun there goes elsewhere.
@@ -331,7 +336,7 @@
         debug!(self.net.log, "ended"; "request" => request.0, "attempt" => attempt, "code" => ?ended.code,
             "upstream" => ended.target.map_or("", |t| self.upstream_name(t)),
             "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
-        let held = ended.answer.as_ref().and_then(|a| a.held);
+        let held = ended.answer.as_ref().and_then(|a| a.in_flight);
         let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
         let report = Report::Ended { request, attempt, code, latency, held_up, held, answered };
         self.queue_for(request, report);
@@ -340,7 +345,7 @@
         }
         if let (Some(caller), Some(answer)) = (passed, ended.answer) {
             if let Some(x) = self.exchanges.open.get(&request) {
-                self.stats.ended(&x.class_name, Outcome::Completed);
+                self.stats.record_outcome(&x.class_name, Outcome::Completed);
             }
             let outcome = if code == Code::Ok { "served" } else { "rejected" };
             self.log_request(request, outcome, Some(answer.status), ended.target, None);
@@ -356,7 +361,8 @@
     fn consultation(&self, pool: PoolId) -> Option<Instant> {
         let pool = self.pools.get(pool)?;
         let due = pool.decisions.next_tick().map(|at| self.net.clock.instant(self.round_up(at)));
-        let news = pool.first_news().map(|at| self.net.clock.instant(self.round_up(self.net.clock.at(at))));
+        let news =
+            pool.first_news().map(|at| self.net.clock.instant(self.round_up(self.net.clock.unix_time(at))));
         due.into_iter().chain(news).min()
     }
 
@@ -378,7 +384,7 @@
     }
 
     fn consult_pool(&mut self, id: PoolId, at: Instant) {
-        let now = self.net.clock.at(at);
+        let now = self.net.clock.unix_time(at);
         let Some(pool) = self.pools.get_mut(id) else { return };
         for news in pool.take_news() {
             let ended = match &news {
@@ -439,7 +445,7 @@
         }
         let (asked, pin, once) = (x.request.clone(), x.pin, x.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
-            let now = self.net.clock.at(Instant::now());
+            let now = self.net.clock.unix_time(Instant::now());
             let several = x.route.as_ref().is_some_and(|r| r.route.pools.several());
             let pinned = self.pins.sent(now, key, to.pool, now + window);
             if let (Ok(number), Some(x)) = (pinned, self.exchanges.open.get_mut(&request)) {
@@ -472,7 +478,7 @@
     /// nothing can have run, and there is time, the next one is asked; each pool once.
     fn refused(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let now = Instant::now();
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let Some(x) = self.exchanges.open.get_mut(&request).filter(|x| !x.over) else { return };
         let free = x.out == 0 && !x.may_have_run && x.ask.expires > at;
         while let Some(next) = (!x.others.is_empty() && free).then(|| x.others.remove(0)) {
@@ -508,13 +514,13 @@
         let caller = self.exchanges.conclude(request);
         if !copy {
             let reason = self.refusal_reason(request).filter(|_| !matches!(answer, Final::Passed(_)));
-            reason.into_iter().for_each(|r| self.stats.refused(r));
+            reason.into_iter().for_each(|r| self.stats.record_refusal(r));
             let counted = match &answer {
                 Final::Passed(_) => Outcome::Completed,
                 Final::Refused { .. } => Outcome::Rejected,
                 Final::Failed => Outcome::Failed,
             };
-            self.stats.ended(&class, counted);
+            self.stats.record_outcome(&class, counted);
             let (outcome, status) = match &answer {
                 Final::Passed(a) => ("served", a.status),
                 Final::Refused { .. } => ("refused", 503),
@@ -532,7 +538,7 @@
     /// Why a request is refused or failed now.
     fn refusal_reason(&self, request: RequestId) -> Option<RefusalReason> {
         let x = self.exchanges.open.get(&request)?;
-        let now = self.net.clock.at(Instant::now());
+        let now = self.net.clock.unix_time(Instant::now());
         let standing = self.pools.get(x.pool).and_then(|p| p.decisions.list_standing(now));
         Some(match standing {
             _ if x.sends + x.sends_before > 0 => RefusalReason::AttemptsFailed,
--- a/crates/serve/src/export.rs
+++ b/crates/serve/src/export.rs
@@ -223,7 +223,7 @@
 
 impl Proxy {
     fn export_ready(&mut self, number: u64, writable: bool) {
-        let own = self.stats.figures();
+        let own = self.stats.totals();
         if let Some(fleet) = &mut self.fleet {
             fleet.export_ready(&mut self.net, own, (number, writable));
         }
--- a/crates/serve/src/http.rs
+++ b/crates/serve/src/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 codec: bytes to requests and answers, and back. It owns no socket and decides nothing.
+//! The HTTP/1.1 codec: it parses requests and responses from bytes and serializes them. It owns no socket and
+//! makes no decisions.
 
 use crate::Limits;
 use garnettally_routing::pattern::Headers;
@@ -6,51 +7,61 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Why a message cannot be taken: the status that says so.
+/// The message can't be processed; the field is the HTTP status code that describes the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad(pub u16);
+pub struct HttpError(pub u16);
 
-/// How a body ends.
+/// How the end of a message body is determined (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body is exactly this many bytes long.
     Length(usize),
-    /// With its last chunk.
+    /// The body is chunked and ends with the last chunk and its trailers.
     Chunked,
-    /// With its connection.
+    /// The body ends when the peer closes the connection.
     Close,
 }
 
-/// A request of a caller, as far as the balancer looks into it.
+/// A caller's request, reduced to the parts that the balancer evaluates or forwards.
 #[derive(Debug, Default)]
 pub struct Request {
     pub method: String,
+    /// The value of `Host`; empty where an HTTP/1.0 request has none.
     pub host: String,
+    /// The request target: path and query as the caller sent them.
     pub target: String,
-    /// The header lines to pass on, each with its end.
+    /// The header lines to forward, each terminated by CRLF.
     pub headers: Vec<u8>,
+    /// The body with any chunked coding removed.
     pub body: Vec<u8>,
+    /// The caller's connection may carry another request after this one.
     pub keep_alive: bool,
+    /// The value of `Req-Id`.
     pub id: Option<String>,
+    /// The value of `Req-Owner`: the name of the tenant.
     pub owner: Option<String>,
+    /// The value of `Req-Deadline`, in seconds, not yet parsed.
     pub deadline: Option<String>,
+    /// The value of `Req-Cost`, in microseconds, not yet parsed.
     pub cost: Option<String>,
+    /// The client has sent this request before (`Req-Retry: 1`).
     pub repeat: bool,
+    /// The request has an `Idempotency-Key` that is not empty.
     pub keyed: bool,
 }
 
 impl Request {
-    /// The target without its query.
+    /// The path: the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// What follows the target's question mark.
+    /// The query: the part of the target after the question mark, or an empty string.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 
-    /// Adds a header line to those that are passed on.
+    /// Adds a header line to those that are forwarded.
     pub fn add_header(&mut self, name: &str, value: &str) {
         for part in [name, ": ", value, "\r\n"] {
             self.headers.extend_from_slice(part.as_bytes());
@@ -58,7 +69,8 @@
     }
 }
 
-/// The headers that are passed on, and the deadline. Those of the connection alone are no business of a route.
+/// Routes match on the forwarded headers and on the deadline. Headers that concern only the connection are
+/// not visible to them.
 impl Headers for Request {
     fn header(&self, name: &str) -> Option<&str> {
         if name.eq_ignore_ascii_case("req-deadline") {
@@ -72,116 +84,132 @@
     }
 }
 
-/// What a request asks for, in plain values; nothing here is of HTTP.
+/// A request of the platform's protocol, with its values parsed and independent of HTTP.
 #[derive(Debug)]
 pub struct Call<'a> {
+    /// The caller's identifier of the request; never empty.
     pub id: &'a str,
+    /// The name of the request's class: the first segment of the path.
     pub class: &'a str,
-    /// What it concerns: requests that share it belong together.
+    /// The query parameter `key`: requests with the same value concern the same subject.
     pub subject: Option<&'a str>,
+    /// The name of the tenant.
     pub owner: Option<&'a str>,
+    /// The time within which the caller wants the response, from the arrival of the request.
     pub deadline: Duration,
+    /// The caller's cost hint: the work that it expects the request to take.
     pub cost: Option<Duration>,
-    /// Its client has tried before.
+    /// The client has sent this request before.
     pub repeat: bool,
-    /// It is said to change nothing.
+    /// The method declares that the request changes nothing on the server.
     pub read_only: bool,
-    /// It carries a key by which a repeat is known.
+    /// The request carries an idempotency key by which a server recognizes a repeat.
     pub keyed: bool,
 }
 
-/// What a request tells of itself besides: the work that it expects to be, and whether its client has tried before.
-pub fn hints(r: &Request) -> Result<(Option<Duration>, bool), Bad> {
-    let cost = r.cost.as_deref().map(|c| number(c, 1e12)).transpose()?;
-    Ok((cost.map(|us| Duration::from_micros(us as u64)), r.repeat))
+/// Parses a request's hints: its expected work, and whether its client has sent it before.
+pub fn parse_hints(request: &Request) -> Result<(Option<Duration>, bool), HttpError> {
+    let cost = request.cost.as_deref().map(|text| parse_number(text, 1e12)).transpose()?;
+    Ok((cost.map(|us| Duration::from_micros(us as u64)), request.repeat))
 }
 
-fn number(text: &str, most: f64) -> Result<f64, Bad> {
-    text.parse::<f64>().ok().filter(|v| (0.0..most).contains(v)).ok_or(Bad(400))
+/// Parses a number from 0 up to, and excluding, `limit`.
+fn parse_number(text: &str, limit: f64) -> Result<f64, HttpError> {
+    text.parse::<f64>().ok().filter(|v| (0.0..limit).contains(v)).ok_or(HttpError(400))
 }
 
-/// The call that a request makes.
-pub fn call(r: &Request) -> Result<Call<'_>, Bad> {
-    let (path, query) = r.target.split_once('?').unwrap_or((&r.target, ""));
-    let (cost, repeat) = hints(r)?;
-    let id = r.id.as_deref().filter(|id| !id.is_empty()).ok_or(Bad(400))?;
-    let read_only = match &*r.method {
+/// Parses a request of the platform's protocol.
+pub fn parse_call(request: &Request) -> Result<Call<'_>, HttpError> {
+    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+    let (cost, repeat) = parse_hints(request)?;
+    let id = request.id.as_deref().filter(|id| !id.is_empty()).ok_or(HttpError(400))?;
+    let read_only = match &*request.method {
         "GET" => true,
         "POST" => false,
-        _ => return Err(Bad(405)),
+        _ => return Err(HttpError(405)),
     };
     Ok(Call {
         id,
-        class: path.strip_prefix('/').ok_or(Bad(400))?.split('/').next().unwrap_or(""),
+        class: path.strip_prefix('/').ok_or(HttpError(400))?.split('/').next().unwrap_or(""),
         subject: query.split('&').find_map(|pair| pair.strip_prefix("key=")),
-        owner: r.owner.as_deref(),
-        deadline: Duration::from_secs_f64(number(r.deadline.as_deref().ok_or(Bad(400))?, 1e6)?),
+        owner: request.owner.as_deref(),
+        deadline: Duration::from_secs_f64(parse_number(
+            request.deadline.as_deref().ok_or(HttpError(400))?,
+            1e6,
+        )?),
         cost,
         repeat,
         read_only,
-        keyed: r.keyed,
+        keyed: request.keyed,
     })
 }
 
-/// A request as far as it has come in.
+/// The result of parsing the bytes received so far.
 #[derive(Debug)]
 pub enum Incoming {
-    /// More bytes are needed; the caller may wait for a `100 Continue`.
-    Partial { expects: bool },
-    /// The request, and how many bytes it took.
-    Whole(Box<Request>, usize),
+    /// The request is incomplete. `expects_continue`: the caller may be waiting for a `100 Continue` before
+    /// it sends the body.
+    Partial { expects_continue: bool },
+    /// The complete request, and the number of input bytes that it used.
+    Complete(Box<Request>, usize),
 }
 
-/// An upstream's answer.
+/// An upstream's response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
+    /// The header lines to forward, each terminated by CRLF.
     pub headers: Vec<u8>,
+    /// The body with any chunked coding removed.
     pub body: Vec<u8>,
+    /// The upstream's connection may carry another request after this response.
     pub keep_alive: bool,
-    /// The length that it has without having a body: it answers a HEAD.
-    pub bare_length: Option<usize>,
-    /// It says that the request never ran.
+    /// The `Content-Length` of a response to HEAD, which has no body.
+    pub length_without_body: Option<usize>,
+    /// The server states that the request never ran (`Srv-Declined: 1`).
     pub declined: bool,
-    pub held: Option<f64>,
+    /// The number of requests in flight at the server, from its load report (`Srv-Load`).
+    pub in_flight: Option<f64>,
 }
 
-/// Reads a request from the start of `buf`.
-pub fn request(buf: &[u8], limits: &Limits) -> Result<Incoming, Bad> {
-    // Empty lines before a request are passed over.
+/// Parses a request from the start of `buf`.
+pub fn parse_request(buf: &[u8], limits: &Limits) -> Result<Incoming, HttpError> {
+    // Empty lines before a request are skipped (RFC 9112, section 2.2).
     let start = buf.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Request::new(&mut space);
     let head_len = match head.parse(&buf[start..]) {
         Ok(Status::Complete(n)) if n <= limits.head_bytes => start + n,
-        Ok(Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => return Err(Bad(431)),
-        Ok(Status::Partial) if buf.len() > limits.head_bytes => return Err(Bad(431)),
-        Ok(Status::Partial) => return Ok(Incoming::Partial { expects: false }),
-        Err(_) => return Err(Bad(400)),
+        Ok(Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError(431)),
+        Ok(Status::Partial) if buf.len() > limits.head_bytes => return Err(HttpError(431)),
+        Ok(Status::Partial) => return Ok(Incoming::Partial { expects_continue: false }),
+        Err(_) => return Err(HttpError(400)),
     };
     let (Some(method), Some(target), Some(version)) = (head.method, head.path, head.version) else {
-        return Err(Bad(400));
+        return Err(HttpError(400));
     };
-    let fields = Fields::read(head.headers, version)?;
-    if fields.hosts != 1 && version == 1 {
-        return Err(Bad(400));
+    let headers = MessageHeaders::parse(head.headers, version)?;
+    if headers.host_count != 1 && version == 1 {
+        return Err(HttpError(400));
     }
-    let framing = match (fields.chunked, fields.length) {
-        // The marks of a smuggled request: who reads it otherwise finds another one in its body.
-        (true, Some(_)) => return Err(Bad(400)),
-        (true, None) if version == 0 => return Err(Bad(400)),
-        _ if fields.lengths > 1 => return Err(Bad(400)),
+    let framing = match (headers.chunked, headers.length) {
+        // Ambiguous framing is rejected: a server that frames the message differently would find another
+        // request in its body (request smuggling).
+        (true, Some(_)) => return Err(HttpError(400)),
+        (true, None) if version == 0 => return Err(HttpError(400)),
+        _ if headers.length_count > 1 => return Err(HttpError(400)),
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
-    let Some((body, used)) = body(&buf[head_len..], framing, false, limits.body_bytes, limits)? else {
-        return Ok(Incoming::Partial { expects: fields.expects && buf.len() == head_len });
+    let Some((body, used)) = parse_body(&buf[head_len..], framing, false, limits.body_bytes, limits)? else {
+        return Ok(Incoming::Partial { expects_continue: headers.expects_continue && buf.len() == head_len });
     };
-    let text = |name: &str| -> Result<Option<String>, Bad> {
+    let text = |name: &str| -> Result<Option<String>, HttpError> {
         let mut found = head.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
-        let first = found.next().map(|h| std::str::from_utf8(h.value).map_err(|_| Bad(400))).transpose()?;
+        let first =
+            found.next().map(|h| std::str::from_utf8(h.value).map_err(|_| HttpError(400))).transpose()?;
         match found.next() {
-            Some(_) => Err(Bad(400)),
+            Some(_) => Err(HttpError(400)),
             None => Ok(first.map(|v| v.trim().to_string())),
         }
     };
@@ -189,9 +217,9 @@
         method: method.to_string(),
         host: text("Host")?.unwrap_or_default(),
         target: target.to_string(),
-        headers: pass_on(head.headers, &fields),
+        headers: forwarded_headers(head.headers, &headers),
         body,
-        keep_alive: fields.keep_alive,
+        keep_alive: headers.keep_alive,
         id: text("Req-Id")?,
         owner: text("Req-Owner")?,
         deadline: text("Req-Deadline")?,
@@ -199,122 +227,144 @@
         repeat: text("Req-Retry")?.as_deref() == Some("1"),
         keyed: text("Idempotency-Key")?.is_some_and(|k| !k.is_empty()),
     };
-    Ok(Incoming::Whole(Box::new(request), head_len + used))
+    Ok(Incoming::Complete(Box::new(request), head_len + used))
 }
 
-/// Reads an answer that must be the only thing in `buf`; `ended`: no more will come; `bare`: it answers a HEAD.
-pub fn answer(buf: &[u8], ended: bool, bare: bool, limits: &Limits) -> Result<Option<Answer>, Bad> {
+/// Parses a response that has to be the only content of `buf`. `ended`: the peer sends no more bytes.
+/// `to_head`: the response belongs to a HEAD request and has no body.
+pub fn parse_response(
+    buf: &[u8],
+    ended: bool,
+    to_head: bool,
+    limits: &Limits,
+) -> Result<Option<Response>, HttpError> {
     let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
-    let mut at = 0;
+    let mut position = 0;
     loop {
         let mut head = httparse::Response::new(&mut space);
-        let n = match head.parse(&buf[at..]) {
+        let head_len = match head.parse(&buf[position..]) {
             Ok(Status::Complete(n)) if n <= limits.head_bytes => n,
-            Ok(Status::Partial) if !ended && buf.len() - at <= limits.head_bytes => return Ok(None),
-            _ => return Err(Bad(502)),
+            Ok(Status::Partial) if !ended && buf.len() - position <= limits.head_bytes => return Ok(None),
+            _ => return Err(HttpError(502)),
         };
         let (status, version) = (head.code.unwrap_or(0), head.version.unwrap_or(0));
-        at += n;
+        position += head_len;
         if (100..200).contains(&status) && status != 101 {
-            continue; // an interim answer
+            continue; // an interim response
         }
-        let fields = Fields::read(head.headers, version).map_err(|_| Bad(502))?;
-        let framing = match (fields.chunked, fields.length) {
-            _ if bare || matches!(status, 204 | 304) => Framing::Length(0),
+        let headers = MessageHeaders::parse(head.headers, version).map_err(|_| HttpError(502))?;
+        let framing = match (headers.chunked, headers.length) {
+            _ if to_head || matches!(status, 204 | 304) => Framing::Length(0),
             (true, _) => Framing::Chunked,
             (false, Some(n)) => Framing::Length(n),
             (false, None) => Framing::Close,
         };
-        let whole = body(&buf[at..], framing, ended, limits.answer_body_bytes, limits)
-            .map_err(|Bad(s)| Bad(if s == 413 { 413 } else { 502 }))?;
-        let Some((body, used)) = whole else {
-            return if ended { Err(Bad(502)) } else { Ok(None) };
+        let parsed = parse_body(&buf[position..], framing, ended, limits.answer_body_bytes, limits)
+            .map_err(|HttpError(s)| HttpError(if s == 413 { 413 } else { 502 }))?;
+        let Some((body, used)) = parsed else {
+            return if ended { Err(HttpError(502)) } else { Ok(None) };
         };
         let value = |name: &str| head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        let held = value("Srv-Load").and_then(|h| std::str::from_utf8(h.value).ok()).and_then(held);
-        // Bytes past the answer belong to nothing: such a connection is not used again.
-        let clean = at + used == buf.len() && framing != Framing::Close;
-        return Ok(Some(Answer {
+        let report = value("Srv-Load").and_then(|h| std::str::from_utf8(h.value).ok());
+        // Bytes after the response belong to no request: such a connection is not reused.
+        let reusable = position + used == buf.len() && framing != Framing::Close;
+        return Ok(Some(Response {
             status,
-            headers: pass_on(head.headers, &fields),
+            headers: forwarded_headers(head.headers, &headers),
             body,
-            keep_alive: fields.keep_alive && clean,
-            bare_length: fields.length.filter(|_| bare),
+            keep_alive: headers.keep_alive && reusable,
+            length_without_body: headers.length.filter(|_| to_head),
             declined: value("Srv-Declined").is_some_and(|h| h.value.trim_ascii() == b"1"),
-            held,
+            in_flight: report.and_then(reported_in_flight),
         }));
     }
 }
 
-/// The requests that a load report says to be held. It has the settings' name for them, or the other one in
-/// use for the same figure. A report of which any part makes no sense is not believed.
-fn held(report: &str) -> Option<f64> {
-    let mut held = None;
+/// The number of requests in flight that a load report states. The settings call it `rif`; `inflight` is the
+/// other name in use for the same number. A report with any malformed part is ignored as a whole.
+fn reported_in_flight(report: &str) -> Option<f64> {
+    let mut in_flight = None;
     for pair in report.trim().strip_prefix("TEXT")?.split(',') {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
-        if matches!(name.trim(), "rif" | "inflight") && held.replace(value).is_some() {
+        if matches!(name.trim(), "rif" | "inflight") && in_flight.replace(value).is_some() {
             return None;
         }
     }
-    held
+    in_flight
 }
 
-/// What the headers say of the message itself.
-struct Fields {
+/// The headers that determine a message's framing and the further use of its connection.
+struct MessageHeaders {
+    /// The value of `Content-Length`.
     length: Option<usize>,
-    lengths: usize,
+    /// The number of `Content-Length` lines, all of the same value.
+    length_count: usize,
     chunked: bool,
     keep_alive: bool,
-    expects: bool,
-    hosts: usize,
-    named: Vec<String>,
+    /// The message has `Expect: 100-continue`.
+    expects_continue: bool,
+    /// The number of `Host` lines.
+    host_count: usize,
+    /// The other options of `Connection`, in lower case: names of headers that must not be forwarded.
+    connection_options: Vec<String>,
 }
 
-impl Fields {
-    fn read(headers: &[Header<'_>], version: u8) -> Result<Fields, Bad> {
+impl MessageHeaders {
+    /// Parses the headers of a message of this HTTP minor version (0 or 1).
+    fn parse(lines: &[Header<'_>], version: u8) -> Result<MessageHeaders, HttpError> {
         let (length, chunked, keep_alive) = (None, false, version == 1);
-        let mut f =
-            Fields { length, lengths: 0, chunked, keep_alive, expects: false, hosts: 0, named: Vec::new() };
-        for h in headers {
-            let is = |name: &str| h.name.eq_ignore_ascii_case(name);
-            if is("Content-Length") {
-                let text = std::str::from_utf8(h.value).map_err(|_| Bad(400))?.trim();
+        let mut headers = MessageHeaders {
+            length,
+            length_count: 0,
+            chunked,
+            keep_alive,
+            expects_continue: false,
+            host_count: 0,
+            connection_options: Vec::new(),
+        };
+        for line in lines {
+            let is_named = |name: &str| line.name.eq_ignore_ascii_case(name);
+            if is_named("Content-Length") {
+                let text = std::str::from_utf8(line.value).map_err(|_| HttpError(400))?.trim();
                 let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
                 if !digits {
-                    return Err(Bad(400));
+                    return Err(HttpError(400));
                 }
-                let n = text.parse().map_err(|_| Bad(413))?;
-                if f.length.is_some_and(|old| old != n) {
-                    return Err(Bad(400));
+                let n = text.parse().map_err(|_| HttpError(413))?;
+                if headers.length.is_some_and(|previous| previous != n) {
+                    return Err(HttpError(400));
                 }
-                (f.length, f.lengths) = (Some(n), f.lengths + 1);
-            } else if is("Transfer-Encoding") {
-                if f.chunked || !h.value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-                    return Err(Bad(400));
+                (headers.length, headers.length_count) = (Some(n), headers.length_count + 1);
+            } else if is_named("Transfer-Encoding") {
+                if headers.chunked || !line.value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
+                    return Err(HttpError(400));
                 }
-                f.chunked = true;
-            } else if is("Connection") {
-                for option in String::from_utf8_lossy(h.value).split(',') {
+                headers.chunked = true;
+            } else if is_named("Connection") {
+                for option in String::from_utf8_lossy(line.value).split(',') {
                     match option.trim().to_ascii_lowercase() {
-                        o if o == "close" => f.keep_alive = false,
-                        o if o == "keep-alive" => f.keep_alive |= !f.named.iter().any(|n| n == "close"),
-                        o => f.named.push(o),
+                        o if o == "close" => headers.keep_alive = false,
+                        o if o == "keep-alive" => {
+                            headers.keep_alive |= !headers.connection_options.iter().any(|n| n == "close");
+                        }
+                        o => headers.connection_options.push(o),
                     }
                 }
-            } else if is("Expect") {
-                f.expects = h.value.trim_ascii().eq_ignore_ascii_case(b"100-continue");
-            } else if is("Host") {
-                f.hosts += 1;
+            } else if is_named("Expect") {
+                headers.expects_continue = line.value.trim_ascii().eq_ignore_ascii_case(b"100-continue");
+            } else if is_named("Host") {
+                headers.host_count += 1;
             }
         }
-        Ok(f)
+        Ok(headers)
     }
 }
 
-/// The header lines that are not of this connection alone.
-fn pass_on(headers: &[Header<'_>], fields: &Fields) -> Vec<u8> {
-    const OWN: [&str; 13] = [
+/// Serializes the header lines to forward: those that do not concern this connection alone (RFC 9110, section
+/// 7.6.1), and that the balancer does not write itself.
+fn forwarded_headers(lines: &[Header<'_>], headers: &MessageHeaders) -> Vec<u8> {
+    const NOT_FORWARDED: [&str; 13] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -330,153 +380,159 @@
         "srv-declined",
     ];
     let mut out = Vec::new();
-    for h in headers {
-        let own = OWN.iter().any(|o| h.name.eq_ignore_ascii_case(o));
-        if !own && !fields.named.iter().any(|n| h.name.eq_ignore_ascii_case(n)) {
-            out.extend_from_slice(h.name.as_bytes());
+    for line in lines {
+        let per_hop = NOT_FORWARDED.iter().any(|name| line.name.eq_ignore_ascii_case(name));
+        if !per_hop && !headers.connection_options.iter().any(|name| line.name.eq_ignore_ascii_case(name)) {
+            out.extend_from_slice(line.name.as_bytes());
             out.extend_from_slice(b": ");
-            out.extend_from_slice(h.value);
+            out.extend_from_slice(line.value);
             out.extend_from_slice(b"\r\n");
         }
     }
     out
 }
 
-/// The body at the start of `buf` and the bytes that it took there, if it is whole.
-fn body(
+/// Parses the body at the start of `buf`, of at most `max_bytes`: the body and the number of bytes that it
+/// used in `buf`, or `None` while it is incomplete.
+fn parse_body(
     buf: &[u8],
     framing: Framing,
     ended: bool,
-    most: usize,
+    max_bytes: usize,
     limits: &Limits,
-) -> Result<Option<(Vec<u8>, usize)>, Bad> {
+) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     match framing {
-        Framing::Length(n) if n > most => Err(Bad(413)),
+        Framing::Length(n) if n > max_bytes => Err(HttpError(413)),
         Framing::Length(n) => Ok(buf.get(..n).map(|b| (b.to_vec(), n))),
-        Framing::Close if buf.len() > most => Err(Bad(413)),
+        Framing::Close if buf.len() > max_bytes => Err(HttpError(413)),
         Framing::Close => Ok(ended.then(|| (buf.to_vec(), buf.len()))),
         Framing::Chunked => {
-            let mut chunks = Chunks::default();
+            let mut decoder = ChunkDecoder::default();
             let mut out = Vec::new();
-            let used = chunks.read(buf, most, limits, &mut out)?;
-            Ok(chunks.done.then_some((out, used)))
+            let used = decoder.decode(buf, max_bytes, limits, &mut out)?;
+            Ok(decoder.done.then_some((out, used)))
         }
     }
 }
 
-/// A chunked body, as its bytes come in.
+/// An incremental decoder of a chunked body.
 #[derive(Default)]
-pub struct Chunks {
-    left: usize,
-    /// The present chunk's own line end is still to come.
-    tail: bool,
-    trailers: bool,
+pub struct ChunkDecoder {
+    /// The bytes of the current chunk that have not been received.
+    remaining: usize,
+    /// The CRLF that terminates the current chunk has not been received.
+    chunk_end_pending: bool,
+    /// The last chunk has been received; trailers follow.
+    in_trailers: bool,
+    /// The body and its trailers are complete.
     pub done: bool,
 }
 
-impl Chunks {
-    /// Appends what is whole in `buf` to `out`, up to `most` in all, and says how much of `buf` it took.
-    pub fn read(
+impl ChunkDecoder {
+    /// Appends the decoded bytes of `buf` to `out`, which may hold `max_bytes`, and returns how many bytes of
+    /// `buf` were used.
+    pub fn decode(
         &mut self,
         buf: &[u8],
-        most: usize,
+        max_bytes: usize,
         limits: &Limits,
         out: &mut Vec<u8>,
-    ) -> Result<usize, Bad> {
-        let mut at = 0;
+    ) -> Result<usize, HttpError> {
+        let mut position = 0;
         while !self.done {
-            let rest = &buf[at..];
-            if self.left > 0 {
-                let n = self.left.min(rest.len());
+            let rest = &buf[position..];
+            if self.remaining > 0 {
+                let n = self.remaining.min(rest.len());
                 if n == 0 {
                     break;
                 }
                 out.extend_from_slice(&rest[..n]);
-                (self.left, at) = (self.left - n, at + n);
-                self.tail = self.left == 0;
-                if out.len() > most {
-                    return Err(Bad(413));
+                (self.remaining, position) = (self.remaining - n, position + n);
+                self.chunk_end_pending = self.remaining == 0;
+                if out.len() > max_bytes {
+                    return Err(HttpError(413));
                 }
-            } else if self.tail {
+            } else if self.chunk_end_pending {
                 match rest {
-                    [b'\r', b'\n', ..] => (self.tail, at) = (false, at + 2),
+                    [b'\r', b'\n', ..] => (self.chunk_end_pending, position) = (false, position + 2),
                     [] | [b'\r'] => break,
-                    _ => return Err(Bad(400)),
+                    _ => return Err(HttpError(400)),
                 }
-            } else if self.trailers {
+            } else if self.in_trailers {
                 let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
                     if rest.len() > limits.chunk_line_bytes {
-                        return Err(Bad(400));
+                        return Err(HttpError(400));
                     }
                     break;
                 };
-                (self.done, at) = (end == 0, at + end + 2);
+                (self.done, position) = (end == 0, position + end + 2);
             } else {
-                match httparse::parse_chunk_size(rest).map_err(|_| Bad(400))? {
-                    Status::Partial if rest.len() > limits.chunk_line_bytes => return Err(Bad(400)),
+                match httparse::parse_chunk_size(rest).map_err(|_| HttpError(400))? {
+                    Status::Partial if rest.len() > limits.chunk_line_bytes => return Err(HttpError(400)),
                     Status::Partial => break,
                     Status::Complete((n, size)) => {
-                        at += n;
-                        self.left = usize::try_from(size).map_err(|_| Bad(413))?;
-                        if self.left > most {
-                            return Err(Bad(413));
+                        position += n;
+                        self.remaining = usize::try_from(size).map_err(|_| HttpError(413))?;
+                        if self.remaining > max_bytes {
+                            return Err(HttpError(413));
                         }
-                        self.trailers = size == 0;
+                        self.in_trailers = size == 0;
                     }
                 }
             }
         }
-        Ok(at)
+        Ok(position)
     }
 }
 
-/// The head of a chunked answer: whether it is a 200, and its length.
-pub fn stream_head(buf: &[u8], limits: &Limits) -> Result<Option<usize>, Bad> {
+/// Parses the head of a streamed response and returns its length in bytes, or `None` while it is incomplete.
+/// A response that is not a chunked 200 is an error.
+pub fn parse_stream_head(buf: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
     let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Response::new(&mut space);
     match head.parse(buf) {
         Ok(Status::Partial) if buf.len() <= limits.head_bytes => Ok(None),
-        Ok(Status::Complete(n)) => {
+        Ok(Status::Complete(head_len)) => {
             let status = head.code.unwrap_or(0);
-            let chunked = Fields::read(head.headers, 1)?.chunked;
+            let chunked = MessageHeaders::parse(head.headers, 1)?.chunked;
             if status == 200 && chunked {
-                Ok(Some(n))
+                Ok(Some(head_len))
             } else {
-                Err(Bad(if status == 200 { 502 } else { status }))
+                Err(HttpError(if status == 200 { 502 } else { status }))
             }
         }
-        _ => Err(Bad(502)),
+        _ => Err(HttpError(502)),
     }
 }
 
-/// Writes a request to an upstream.
-pub fn write_request(out: &mut Vec<u8>, r: &Request, host: &str, wait: Duration) {
+/// Serializes a request to an upstream. `timeout`: the time-out of the attempt, sent as `Req-Deadline`.
+pub fn write_request(out: &mut Vec<u8>, request: &Request, host: &str, timeout: Duration) {
     let mut head = String::with_capacity(128);
-    let _ = write!(head, "{} {} HTTP/1.1\r\nHost: {host}\r\n", r.method, r.target);
-    let _ = write!(head, "Req-Deadline: {:.6}\r\n", wait.as_secs_f64());
-    if !r.body.is_empty() || r.method != "GET" {
-        let _ = write!(head, "Content-Length: {}\r\n", r.body.len());
+    let _ = write!(head, "{} {} HTTP/1.1\r\nHost: {host}\r\n", request.method, request.target);
+    let _ = write!(head, "Req-Deadline: {:.6}\r\n", timeout.as_secs_f64());
+    if !request.body.is_empty() || request.method != "GET" {
+        let _ = write!(head, "Content-Length: {}\r\n", request.body.len());
     }
     out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(&r.headers);
+    out.extend_from_slice(&request.headers);
     out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(&r.body);
+    out.extend_from_slice(&request.body);
 }
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Clone, Copy, Default)]
-pub struct Outgoing<'a> {
+pub struct OutgoingResponse<'a> {
     pub status: u16,
-    /// Header lines, each with its end.
+    /// Header lines, each terminated by CRLF.
     pub headers: &'a [u8],
     pub body: &'a [u8],
-    /// The length that is told although there is no body.
-    pub bare_length: Option<usize>,
+    /// The `Content-Length` to send although there is no body: the response to a HEAD.
+    pub length_without_body: Option<usize>,
 }
 
-/// Writes an answer to a caller.
-pub fn write_answer(out: &mut Vec<u8>, answer: &Outgoing<'_>, close: bool) {
-    let &Outgoing { status, headers, body, bare_length } = answer;
+/// Serializes a response to a caller. `close`: it announces that the connection closes after it.
+pub fn write_response(out: &mut Vec<u8>, response: &OutgoingResponse<'_>, close: bool) {
+    let &OutgoingResponse { status, headers, body, length_without_body } = response;
     let reason = match status {
         200 => "OK",
         201 => "Created",
@@ -507,8 +563,9 @@
     };
     let mut head = String::with_capacity(96);
     let _ = write!(head, "HTTP/1.1 {status} {reason}\r\n");
-    // Where there can be no body, its length is that of another answer, or must not be told.
-    let length = if matches!(status, 204 | 304) { None } else { Some(bare_length.unwrap_or(body.len())) };
+    // A 204 must not state a length, and that of a 304 would be the length of another response.
+    let length =
+        if matches!(status, 204 | 304) { None } else { Some(length_without_body.unwrap_or(body.len())) };
     if let Some(length) = length {
         let _ = write!(head, "Content-Length: {length}\r\n");
     }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -236,7 +236,7 @@
         proxy.fleet = Some(fleet::Fleet::start(&proxy.net, settings)?);
     }
     for pool in &plan.pools {
-        pool.site.names.classes().iter().for_each(|c| proxy.stats.know_class(c));
+        pool.site.names.classes().iter().for_each(|c| proxy.stats.register_class(c));
     }
     if let (Guide::Platform, Some(pool)) = (&plan.guide, plan.pools.first()) {
         proxy.reload.settings = Some(reload::fingerprint(&pool.site));
@@ -285,7 +285,7 @@
             self.review_pools(now);
             self.end_left_listeners();
             self.end_left_pools();
-            self.pins.expire(self.net.clock.at(now));
+            self.pins.expire(self.net.clock.unix_time(now));
         }
         self.resume_accepting(now);
         self.resume_reading();
@@ -302,12 +302,12 @@
         let told_at = self.next_consultation().filter(|_| untold);
         let Some(fleet) = &mut self.fleet else { return };
         fleet.drain(drained);
-        fleet.turn(&mut self.net, self.stats.figures(), now);
+        fleet.turn(&mut self.net, self.stats.totals(), now);
         if !fleet.looks(now) || told_at.is_some_and(|at| fleet.postpone_look(at)) {
             return;
         }
         let seen: Vec<fleet::Seen<'_>> = self.pools.iter().filter(|p| !p.leaving).map(|p| p.seen()).collect();
-        let heard = fleet.look(&self.net.log, now, self.net.clock.at(now), &seen);
+        let heard = fleet.look(&self.net.log, now, self.net.clock.unix_time(now), &seen);
         let share = fleet.share();
         self.share_pools(share);
         for (id, hearsay) in heard {
@@ -331,7 +331,10 @@
             self.admin.next_wake(&self.net),
             // Once passed, closing idle connections goes on at every turn and sweep: no wake of its own, or the
             // loop would spin for the whole drain.
-            self.admin.failed_at.map(|at| at + self.net.limits.drain_idle).filter(|&at| at > Instant::now()),
+            self.admin
+                .drained_since
+                .map(|at| at + self.net.limits.drain_idle)
+                .filter(|&at| at > Instant::now()),
             self.next_consultation(),
             self.fleet.as_ref().map(|f| f.next_wake()),
         ];
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -195,7 +195,7 @@
     pub fn add_pool(&mut self, plan: PoolPlan, seed: u64, now: Instant) -> PoolId {
         self.pools.next += 1;
         let id = PoolId(self.pools.next);
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let (mut source, told) = Source::new(&plan.nodes, now);
         if let (Source::Watch(discovery), Some(known)) = (&mut source, &plan.known) {
             *discovery = Discovery::new(discovery.address(), Some(known));
@@ -251,7 +251,7 @@
 
     /// Takes over what a new version says of a pool that stays. Its instance of the module goes on.
     pub fn change_pool(&mut self, id: PoolId, plan: PoolPlan, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let Some(pool) = self.pools.get_mut(id) else { return };
         self.budgets.requests.change(pool.requests, plan.requests);
         self.budgets.copies.change(pool.copies, plan.requests);
@@ -334,7 +334,7 @@
         let listed = !found.is_empty() || all;
         pool.told |= all;
         if !found.is_empty() {
-            pool.follow_wall_clock(now, self.net.clock.wall_ahead(Instant::now(), SystemTime::now()));
+            pool.follow_wall_clock(now, self.net.clock.wall_clock_offset(Instant::now(), SystemTime::now()));
         }
         let decisions = pool.decisions.report(now, report);
         if !listed {
@@ -393,7 +393,7 @@
 
     /// Notes how an attempt ended, for failover.
     pub fn note_health(&mut self, target: Target, code: Code, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
             pool.health.ended(at, target.server, code);
         }
@@ -410,7 +410,7 @@
 
     /// Looks at the health of every pool, which failover goes by.
     pub fn review_pools(&mut self, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         // Before its nodes are told, nothing is known of a pool.
         for pool in self.pools.all.values_mut().filter(|p| p.told) {
             let share = pool.health.healthy_share(at);
--- a/crates/serve/src/reasons.rs
+++ b/crates/serve/src/reasons.rs
@@ -1,25 +1,25 @@
-//! Why a connection was closed, and why a request was refused: what log lines and `/stats` say of it.
+//! The reasons for closed connections and refused requests that log lines and `/stats` report.
 
 use std::fmt;
 
-/// Why this process ended a connection, or found it ended.
+/// Why this process closed a connection, or found it closed by the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its peer has closed or reset it, or cannot be written to.
+    /// The peer has closed or reset the connection, or a write to it failed.
     PeerLeft,
-    /// It was between requests for too long.
+    /// The connection was between requests for longer than the idle limit.
     Idle,
-    /// It has had its last answer, and its peer had time to end it.
+    /// The last response was sent, and the peer had time to close the connection itself.
     Finished,
-    /// Its place is wanted for another connection.
+    /// The connection was idle, and its place in the limits was needed for another connection.
     Displaced,
-    /// What it carried was called off.
+    /// The attempt on the connection was cancelled.
     Cancelled,
-    /// Its attempt had no answer in time, or the connection did not come up in time.
+    /// The attempt got no response in time, or the connection was not established in time.
     TimedOut,
-    /// It broke, or brought bytes that make no answer.
+    /// The connection failed, or the peer sent bytes that are not a valid response.
     Broken,
-    /// Its upstream left, moved, or ended the connection after an answer.
+    /// The upstream was removed, changed its address, or closed the connection after a response.
     UpstreamLeft,
 }
 
@@ -29,7 +29,7 @@
             CloseReason::PeerLeft => "the peer left",
             CloseReason::Idle => "idle",
             CloseReason::Finished => "finished",
-            CloseReason::Displaced => "its place was wanted",
+            CloseReason::Displaced => "displaced by another connection",
             CloseReason::Cancelled => "cancelled",
             CloseReason::TimedOut => "timed out",
             CloseReason::Broken => "broken",
@@ -38,23 +38,23 @@
     }
 }
 
-/// Why a request that was taken was refused or failed.
+/// Why a request that was accepted was later refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// The list of upstreams may lack changes that bind already.
+    /// The list of upstreams is stale: changes that the balancer has to obey may be missing from it.
     StaleList,
-    /// No upstream had room for it in time.
+    /// No upstream had room for the request in time.
     NoRoom,
-    /// It was tried, and may not be tried again, or not in time.
+    /// The request was attempted, and another attempt is not allowed or does not fit before the deadline.
     AttemptsFailed,
 }
 
 impl RefusalReason {
-    /// All of them, in the order of the figures.
+    /// All reasons, in the order in which `/stats` lists them.
     pub const ALL: [RefusalReason; 3] =
         [RefusalReason::StaleList, RefusalReason::NoRoom, RefusalReason::AttemptsFailed];
 
-    /// The last part of its figure's name.
+    /// The last part of the reason's metric name; the log uses the same word.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::StaleList => "stale_list",
--- a/crates/serve/src/reload.rs
+++ b/crates/serve/src/reload.rs
@@ -80,11 +80,11 @@
         let config = match Config::from_environment() {
             Ok(config) => config,
             Err(e) => {
-                self.stats.reloaded(false);
+                self.stats.record_reload(false);
                 return error!(self.net.log, "the new configuration is not used"; "error" => e);
             }
         };
-        self.stats.reloaded(true);
+        self.stats.record_reload(true);
         if !self.shutdown.ending() {
             self.net.limits.take_times(&Limits::new(&config));
         }
@@ -114,7 +114,7 @@
         let now = Instant::now();
         let mut plan = crate::plan::Plan::platform_pool(config, &self.net.limits);
         plan.known = held.or(plan.known);
-        config.site.names.classes().iter().for_each(|c| self.stats.know_class(c));
+        config.site.names.classes().iter().for_each(|c| self.stats.register_class(c));
         self.reload.versions += 1;
         let seed = self.seed.rotate_left(7) ^ self.reload.versions;
         let new = self.add_pool(plan, seed, now);
@@ -154,7 +154,7 @@
                 return;
             }
             self.reload.waits = None;
-            self.stats.reloaded(false);
+            self.stats.record_reload(false);
             let what = match before {
                 Some((_, 0)) => "the new version is refused: its file is empty",
                 _ => "the new version is refused: its file does not stop changing",
@@ -166,7 +166,7 @@
             Ok(operator) => self.apply(operator, now).err(),
             Err(problems) => Some(problems.to_string()),
         };
-        self.stats.reloaded(refused.is_none());
+        self.stats.record_reload(refused.is_none());
         if let Some(problems) = refused {
             error!(self.net.log, "the new version is refused, and the one before it stays in force";
                 "version" => self.reload.versions, "file" => path, "problems" => problems);
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -58,7 +58,7 @@
         if !self.shutdown.closing && self.shutdown.keep_until.is_some_and(|at| at <= now) {
             self.shutdown.closing = true;
         }
-        if self.shutdown.closing || self.admin.close_idle(&self.net, now) {
+        if self.shutdown.closing || self.admin.closes_idle(&self.net, now) {
             self.end_idle_callers(now, true);
         }
         if self.shutdown.closing
--- a/crates/serve/src/socket_errors.rs
+++ b/crates/serve/src/socket_errors.rs
@@ -1,10 +1,10 @@
-//! What errors of system calls on sockets tell.
+//! Classifies the errors of system calls on sockets.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Whether a socket could not be made or connected for want of something on this machine (descriptors, memory, ports):
-/// that tells nothing of the peer.
+/// Whether a socket could not be created or connected because this machine lacks a resource (descriptors,
+/// memory, ports). Such an error says nothing about the peer.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -20,26 +20,27 @@
     )
 }
 
-/// Whether a connection is being made, though the call that began it failed.
+/// Whether the connection is being established although `connect` returned this error.
 pub fn is_connecting(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::INPROGRESS | Errno::ALREADY | Errno::ISCONN))
 }
 
-/// What a failed `accept` tells.
+/// What a failed `accept` says about the connection, the machine or the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// No connection waits.
+    /// The listener's queue holds no connection.
     Empty,
-    /// Interrupted, or the connection that waited is gone: the next one may be well. Linux reports errors that a connection
-    /// has met already here, and a refusal by the firewall.
+    /// The call was interrupted, or the queued connection has failed; the next one may succeed. Linux reports
+    /// here errors that already happened on the connection, and a refusal by the firewall.
     Connection,
-    /// Descriptors, memory or the like are used up: room has to be made before the next one.
+    /// Descriptors, memory or a similar resource are exhausted: some have to be freed before the next
+    /// `accept`.
     Shortage,
-    /// The listener can't be used at present.
+    /// The listener itself can't be used at present.
     Listener,
 }
 
-/// Sorts the errors of `accept` (accept(2), "Error handling").
+/// Classifies the errors of `accept` (accept(2), "Error handling").
 pub fn accept_failure(error: &io::Error) -> AcceptFailure {
     match Errno::from_io_error(error) {
         Some(Errno::AGAIN) => AcceptFailure::Empty,
--- a/crates/serve/src/socket_errors_tests.rs
+++ b/crates/serve/src/socket_errors_tests.rs
@@ -1,4 +1,4 @@
-//! Each error that Linux documents for a call, and what it is taken for.
+//! Tests of the classification of each error that Linux documents for `connect`, `socket` and `accept`.
 
 use super::*;
 
@@ -6,8 +6,8 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// Errors of `connect` and `socket` by what they are about.
-const OF_THIS_MACHINE: [Errno; 7] = [
+/// Errors of `connect` and `socket` for lack of a resource on this machine.
+const LOCAL_SHORTAGES: [Errno; 7] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -16,7 +16,8 @@
     Errno::ADDRINUSE,
     Errno::AGAIN,
 ];
-const OF_THE_PEER: [Errno; 7] = [
+/// Errors of `connect` that the peer or the path to it causes.
+const PEER_FAILURES: [Errno; 7] = [
     Errno::CONNREFUSED,
     Errno::CONNRESET,
     Errno::HOSTUNREACH,
@@ -26,23 +27,24 @@
     Errno::CONNABORTED,
 ];
 
-/// Guards against a peer that is avoided for what this machine lacks, and against one that is trusted though it is gone.
+/// Guards against avoiding a peer because this machine lacks a resource, and against trusting a peer that is
+/// unreachable.
 #[test]
-fn what_this_machine_lacks_tells_nothing_of_the_peer() {
-    assert!(OF_THIS_MACHINE.into_iter().all(|errno| is_local_shortage(&error(errno))));
-    assert!(!OF_THE_PEER.into_iter().any(|errno| is_local_shortage(&error(errno))));
+fn local_shortages_are_not_taken_for_failures_of_the_peer() {
+    assert!(LOCAL_SHORTAGES.into_iter().all(|errno| is_local_shortage(&error(errno))));
+    assert!(!PEER_FAILURES.into_iter().any(|errno| is_local_shortage(&error(errno))));
     assert!(!is_local_shortage(&io::Error::other("no number")));
 }
 
 #[test]
-fn a_connection_that_is_being_made_has_not_failed() {
-    let under_way = [Errno::INPROGRESS, Errno::ALREADY, Errno::ISCONN];
-    assert!(under_way.into_iter().all(|errno| is_connecting(&error(errno))));
-    assert!(!OF_THIS_MACHINE.into_iter().chain(OF_THE_PEER).any(|errno| is_connecting(&error(errno))));
+fn a_connection_that_is_being_established_has_not_failed() {
+    let in_progress = [Errno::INPROGRESS, Errno::ALREADY, Errno::ISCONN];
+    assert!(in_progress.into_iter().all(|errno| is_connecting(&error(errno))));
+    assert!(!LOCAL_SHORTAGES.into_iter().chain(PEER_FAILURES).any(|errno| is_connecting(&error(errno))));
 }
 
 #[test]
-fn a_failed_accept_is_about_the_connection_this_machine_or_the_listener() {
+fn accept_errors_are_classified_by_queue_connection_shortage_or_listener() {
     let cases: [(AcceptFailure, &[Errno]); 4] = [
         (AcceptFailure::Empty, &[Errno::AGAIN]),
         (
--- a/crates/serve/src/stats.rs
+++ b/crates/serve/src/stats.rs
@@ -1,48 +1,54 @@
-//! The figures that operators fetch from `/stats` (docs/stats.md): one registry, owned by the network side, counted
-//! from 0 in each process, written as statsd lines. It decides nothing and does no I/O.
+//! The metrics that operators fetch from `/stats` (docs/stats.md): one registry per process, owned by the
+//! network side, whose counters start at 0 and are rendered as statsd lines. The registry makes no decisions
+//! and does no I/O.
 
 use crate::reasons::RefusalReason;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Classes counted by name; names past this are counted under `other`, so that no caller can grow the registry.
-const MOST_CLASSES: usize = 256;
+/// The number of classes counted by name; further names are counted under `other`, so that callers can't grow
+/// the registry without bound.
+const MAX_CLASSES: usize = 256;
 
-/// How a request that was taken ended, as `/stats` counts it.
+/// How an accepted request ended, as `/stats` counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It had an answer that was passed on: `completed`.
+    /// An upstream's response was forwarded: `completed`.
     Completed,
-    /// It was refused, with `Retry-After`: `rejected`.
+    /// The request was refused, with `Retry-After`: `rejected`.
     Rejected,
-    /// It failed: `failed`.
+    /// The request failed: `failed`.
     Failed,
 }
 
+/// The number of requests of one class by outcome, since the start of the process.
 #[derive(Clone, Copy, Default)]
-struct Outcomes {
+struct OutcomeCounts {
     completed: u64,
     rejected: u64,
     failed: u64,
 }
 
-/// What is known at the time of a fetch, rather than counted.
+/// Current values at the time of a fetch, as opposed to counters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Requests taken whose answer is still owed.
+    /// The number of accepted requests that have had no response yet.
     pub pending: usize,
-    /// Upstreams in the lists.
+    /// The number of upstreams in the lists of all pools.
     pub members: usize,
-    /// Of those, the ones that are avoided now: draining, or marked down.
+    /// The number of `members` that are avoided now: draining, or considered down.
     pub members_unavailable: usize,
-    /// Pools whose list of upstreams may lack changes that bind already.
+    /// The number of pools whose list of upstreams is stale: changes that the balancer has to obey may be
+    /// missing.
     pub lists_stale: usize,
 }
 
 /// The counters of one process.
 #[derive(Default)]
 pub struct Stats {
-    classes: BTreeMap<String, Outcomes>,
+    /// By the class's name as it appears in the metric.
+    classes: BTreeMap<String, OutcomeCounts>,
+    /// The number of attempts that were written completely to an upstream.
     upstream_requests: u64,
     config_reloads: u64,
     config_reload_errors: u64,
@@ -51,8 +57,8 @@
     discovery_failures: u64,
 }
 
-/// A class's name as a statsd path part: what would end or split a line is left out.
-fn part(name: &str) -> String {
+/// A class's name as a segment of a statsd path: characters that would end or split a line become `_`.
+fn path_segment(name: &str) -> String {
     let clean: String = name
         .chars()
         .map(|c| if c.is_ascii_alphanumeric() || c == '_' || c == '-' { c } else { '_' })
@@ -65,17 +71,17 @@
 }
 
 impl Stats {
-    /// A class is known from the start, so that its counters read 0 before its first request.
-    pub fn know_class(&mut self, class: &str) {
-        if self.classes.len() < MOST_CLASSES {
-            self.classes.entry(part(class)).or_default();
+    /// Registers a configured class, so that its counters read 0 before its first request.
+    pub fn register_class(&mut self, class: &str) {
+        if self.classes.len() < MAX_CLASSES {
+            self.classes.entry(path_segment(class)).or_default();
         }
     }
 
-    /// A request of this class has had its final answer.
-    pub fn ended(&mut self, class: &str, outcome: Outcome) {
-        let name = part(class);
-        let name = if self.classes.contains_key(&name) || self.classes.len() < MOST_CLASSES {
+    /// Counts a request of this class that has had its final response.
+    pub fn record_outcome(&mut self, class: &str, outcome: Outcome) {
+        let name = path_segment(class);
+        let name = if self.classes.contains_key(&name) || self.classes.len() < MAX_CLASSES {
             name
         } else {
             "other".into()
@@ -88,9 +94,9 @@
         }
     }
 
-    /// The sums of all classes.
-    pub fn figures(&self) -> crate::export::Figures {
-        let sum = |of: fn(&Outcomes) -> u64| self.classes.values().map(of).sum();
+    /// The sums over all classes, for the export.
+    pub fn totals(&self) -> crate::export::Figures {
+        let sum = |field: fn(&OutcomeCounts) -> u64| self.classes.values().map(field).sum();
         crate::export::Figures {
             completed: sum(|o| o.completed),
             rejected: sum(|o| o.rejected),
@@ -99,40 +105,42 @@
         }
     }
 
-    /// An attempt has been written whole to an upstream.
-    pub fn attempt_written(&mut self) {
+    /// Counts an attempt whose request was written completely to an upstream.
+    pub fn record_attempt_written(&mut self) {
         self.upstream_requests += 1;
     }
 
-    /// A request was refused or failed for this reason.
-    pub fn refused(&mut self, reason: RefusalReason) {
+    /// Counts a request that was refused or failed for this reason.
+    pub fn record_refusal(&mut self, reason: RefusalReason) {
         *self.refused.entry(reason).or_default() += 1;
     }
 
-    /// Discovery was asked for a watch.
-    pub fn discovery_asked(&mut self) {
+    /// Counts a call that opens a watch on discovery.
+    pub fn record_discovery_call(&mut self) {
         self.discovery_calls += 1;
     }
 
-    /// A call to discovery failed, or a watch ended.
-    pub fn discovery_failed(&mut self) {
+    /// Counts a call to discovery that failed, or a watch that ended.
+    pub fn record_discovery_failure(&mut self) {
         self.discovery_failures += 1;
     }
 
-    /// A file was read at SIGHUP: taken, or turned down.
-    pub fn reloaded(&mut self, taken: bool) {
-        match taken {
+    /// Counts a reload of the configuration at SIGHUP; `accepted`: the file was put in force.
+    pub fn record_reload(&mut self, accepted: bool) {
+        match accepted {
             true => self.config_reloads += 1,
             false => self.config_reload_errors += 1,
         }
     }
 
-    /// The lines of a fetch.
+    /// Renders all metrics as statsd lines.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut out = String::with_capacity(64 * (self.classes.len() * 3 + 6));
-        for (class, c) in &self.classes {
-            for (what, n) in [("completed", c.completed), ("rejected", c.rejected), ("failed", c.failed)] {
-                let _ = writeln!(out, "edge_gw.downstream_requests.{class}.{what}:{n}|c");
+        for (class, counts) in &self.classes {
+            let by_outcome =
+                [("completed", counts.completed), ("rejected", counts.rejected), ("failed", counts.failed)];
+            for (outcome, count) in by_outcome {
+                let _ = writeln!(out, "edge_gw.downstream_requests.{class}.{outcome}:{count}|c");
             }
         }
         let _ = writeln!(out, "edge_gw.upstream_requests:{}|c", self.upstream_requests);
--- a/crates/serve/src/stats_tests.rs
+++ b/crates/serve/src/stats_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the statistics registry: counts by class of outcome, and bounded, single-line names.
+//! Tests of the metrics registry: counts by class and outcome, and bounded, single-line names.
 
 use super::*;
 
@@ -8,24 +8,24 @@
 }
 
 #[test]
-fn outcomes_are_counted_by_class_and_known_classes_read_zero() {
-    let mut s = Stats::default();
-    s.know_class("look");
-    s.know_class("book");
+fn outcomes_are_counted_by_class_and_registered_classes_read_zero() {
+    let mut stats = Stats::default();
+    stats.register_class("look");
+    stats.register_class("book");
     for _ in 0..3 {
-        s.ended("look", Outcome::Completed);
+        stats.record_outcome("look", Outcome::Completed);
     }
-    s.ended("book", Outcome::Rejected);
-    s.ended("book", Outcome::Failed);
-    s.attempt_written();
-    s.reloaded(true);
-    s.reloaded(false);
-    s.reloaded(false);
-    s.refused(RefusalReason::StaleList);
-    s.refused(RefusalReason::StaleList);
-    s.discovery_asked();
-    s.discovery_failed();
-    let text = s.render(Gauges { pending: 4, members: 9, members_unavailable: 2, lists_stale: 1 });
+    stats.record_outcome("book", Outcome::Rejected);
+    stats.record_outcome("book", Outcome::Failed);
+    stats.record_attempt_written();
+    stats.record_reload(true);
+    stats.record_reload(false);
+    stats.record_reload(false);
+    stats.record_refusal(RefusalReason::StaleList);
+    stats.record_refusal(RefusalReason::StaleList);
+    stats.record_discovery_call();
+    stats.record_discovery_failure();
+    let text = stats.render(Gauges { pending: 4, members: 9, members_unavailable: 2, lists_stale: 1 });
     assert_eq!(value(&text, "edge_gw.downstream_requests.look.completed"), Some(3));
     assert_eq!(value(&text, "edge_gw.downstream_requests.look.failed"), Some(0));
     assert_eq!(value(&text, "edge_gw.downstream_requests.book.rejected"), Some(1));
@@ -41,19 +41,19 @@
     assert_eq!(value(&text, "edge_gw.lists_stale"), Some(1));
 }
 
-/// Guards against a registry that callers grow without bound, and lines that a name could split.
+/// Guards against a registry that callers grow without bound, and against names that split a line.
 #[test]
-fn names_are_bounded_and_kept_to_one_line() {
-    /// Lines that are no class's.
+fn class_names_are_bounded_in_number_and_never_split_a_line() {
+    /// The number of lines that belong to no class.
     const OTHER_LINES: usize = 12;
-    let mut s = Stats::default();
-    s.ended("a.b:c|d\ne", Outcome::Failed);
+    let mut stats = Stats::default();
+    stats.record_outcome("a.b:c|d\ne", Outcome::Failed);
     for n in 0..10_000 {
-        s.ended(&format!("c{n}"), Outcome::Completed);
+        stats.record_outcome(&format!("c{n}"), Outcome::Completed);
     }
-    let text = s.render(Gauges::default());
+    let text = stats.render(Gauges::default());
     assert_eq!(value(&text, "edge_gw.downstream_requests.a_b_c_d_e.failed"), Some(1));
-    assert!(text.lines().count() <= MOST_CLASSES * 3 + 3 + OTHER_LINES, "{}", text.lines().count());
+    assert!(text.lines().count() <= MAX_CLASSES * 3 + 3 + OTHER_LINES, "{}", text.lines().count());
     assert!(value(&text, "edge_gw.downstream_requests.other.completed").unwrap() > 9_000);
     assert!(text.lines().all(|l| l.matches(':').count() == 1 && l.matches('|').count() == 1), "{text}");
 }
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -1,6 +1,6 @@
 //! The upstream side: attempts, and the pool of connections that they use one at a time.
 
-use crate::http::{self, Answer, Request};
+use crate::http::{self, Request, Response};
 use crate::lease::Lease;
 use crate::pools::PoolId;
 use crate::reasons::CloseReason;
@@ -50,7 +50,7 @@
     pub latency: Duration,
     /// For how much of that this process did not look at its sockets.
     pub held_up: Duration,
-    pub answer: Option<Answer>,
+    pub answer: Option<Response>,
 }
 
 struct Flight {
@@ -392,7 +392,7 @@
         let before = conn.written;
         let wrote = crate::write(&conn.socket.stream, &conn.output, &mut conn.written);
         if conn.flight.is_some() && before < conn.output.len() && conn.written == conn.output.len() {
-            self.stats.attempt_written();
+            self.stats.record_attempt_written();
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         let most = self.net.limits.answer_bytes;
@@ -410,14 +410,14 @@
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         if !conn.input.is_empty() {
             let head = conn.flight.as_ref().is_some_and(|f| f.head);
-            let parsed = http::answer(&conn.input, reading == Reading::Ended, head, &self.net.limits);
+            let parsed = http::parse_response(&conn.input, reading == Reading::Ended, head, &self.net.limits);
             match parsed {
                 Ok(Some(answer)) => return self.answered(id, answer, reading == Reading::Open),
                 Ok(None) if conn.input.len() <= most && !crowded => {}
                 _ if reading == Reading::Broken => {}
                 _ => {
                     let why = match parsed {
-                        Err(http::Bad(413)) => "longer than an answer may be",
+                        Err(http::HttpError(413)) => "longer than an answer may be",
                         Err(_) => "malformed",
                         _ if crowded => "answers together hold too much",
                         _ => "longer than an answer may be",
@@ -435,7 +435,7 @@
         }
     }
 
-    fn answered(&mut self, id: ConnId, answer: Answer, open: bool) {
+    fn answered(&mut self, id: ConnId, answer: Response, open: bool) {
         let upstreams = &mut self.upstreams;
         let Some(conn) = upstreams.conns.get_mut(&id) else { return };
         let terms = upstreams.terms.get(&conn.upstream.pool);
