--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -10,7 +10,7 @@
 /// The settings as they are written, with their names and units.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Facts<'a> {
+pub struct PlatformSettings<'a> {
     #[serde(borrow)]
     pub(crate) az: Cow<'a, str>,
     #[serde(borrow)]
@@ -18,7 +18,7 @@
     pub(crate) contract: Contract,
     #[serde(borrow)]
     pub(crate) grades: Vec<Grade<'a>>,
-    pub(crate) limits: Allowed,
+    pub(crate) limits: SettingsLimits,
     pub(crate) n_instances: u32,
     pub(crate) me: u32,
     #[serde(borrow)]
@@ -37,14 +37,14 @@
     pub(crate) worth_by: Cow<'a, str>,
 }
 
-impl Default for Facts<'_> {
+impl Default for PlatformSettings<'_> {
     fn default() -> Self {
-        Facts {
+        PlatformSettings {
             az: "".into(),
             azs: Vec::new(),
             contract: Contract::default(),
             grades: Vec::new(),
-            limits: Allowed::default(),
+            limits: SettingsLimits::default(),
             n_instances: 1,
             me: 0,
             kinds: Vec::new(),
@@ -107,7 +107,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub(crate) struct Allowed {
+pub(crate) struct SettingsLimits {
     pub(crate) idle_close_us: Option<i64>,
     pub(crate) may_cancel: bool,
     pub(crate) parallel_tries: bool,
@@ -126,7 +126,7 @@
     pub(crate) quota_rps: Option<f64>,
 }
 
-impl Facts<'_> {
+impl PlatformSettings<'_> {
     /// Checks the settings and turns them into the module's; the message names the key at fault.
     pub fn site(&self) -> Result<Site, String> {
         let f = self;
@@ -135,7 +135,7 @@
         let mut zones: Vec<String> = f.azs.iter().map(|z| z.to_string()).collect();
         let mut kinds: Vec<String> = f.kinds.iter().map(|k| k.to_string()).collect();
         let ids = |names: &Option<Vec<Cow<'_, str>>>, known: &mut Vec<String>| {
-            names.iter().flatten().map(|n| dense(known, n)).collect()
+            names.iter().flatten().map(|n| dense_index(known, n)).collect()
         };
         let classes = f.grades.iter().map(|g| Class {
             aim: Micros(g.slo_us),
@@ -152,29 +152,29 @@
         let settings = Settings {
             instances: f.n_instances,
             tier: f.tier,
-            me: f.me,
+            instance_index: f.me,
             resolution: f.resolution_us.map_or(base.resolution, Micros),
             idle_close: f.limits.idle_close_us.map_or(base.idle_close, Micros),
             crossing_price: f.tariffs.cross_zone.unwrap_or(0.0),
-            zone: dense(&mut zones, &f.az),
+            zone: dense_index(&mut zones, &f.az),
             classes,
             tenant_quota: f.realms.iter().map(|r| r.quota_rps.unwrap_or(f64::INFINITY)).collect(),
             over_share_worth: f.over_share_worth.unwrap_or(1.0),
             worth_by_work: f.worth_by == "work",
-            must_ask: f.registry_mode == "on_request",
-            ask_within: f.contract.ask_within_us.map_or(base.ask_within, Micros),
+            watch_on_request: f.registry_mode == "on_request",
+            watch_request_within: f.contract.ask_within_us.map_or(base.watch_request_within, Micros),
             list_lease: None,
-            units_tell_size: f.weight_kind != "none",
-            parallel_tries: f.limits.parallel_tries,
+            weight_by_units: f.weight_kind != "none",
+            parallel_attempts: f.limits.parallel_tries,
             may_cancel: f.limits.may_cancel,
             max_attempts: f.limits.send_cap.unwrap_or(base.max_attempts),
             retry_after: f.limits.retry_after,
             max_retry_after: f.limits.max_retry_after_us.map_or(base.max_retry_after, Micros),
             cold_share: f.contract.cold_share.unwrap_or(base.cold_share),
             ramp_time: f.contract.ramp_time_us.map_or(base.ramp_time, Micros),
-            tip_after: f.contract.tip_after_us.map_or(base.tip_after, Micros),
-            key_rest: f.contract.key_rest_us.map_or(base.key_rest, Micros),
-            drain_binds_alone: f.contract.drain_binds_alone.unwrap_or(false),
+            cold_overload_window: f.contract.tip_after_us.map_or(base.cold_overload_window, Micros),
+            key_pause: f.contract.key_rest_us.map_or(base.key_pause, Micros),
+            removal_is_advisory: f.contract.drain_binds_alone.unwrap_or(false),
         };
         let classes = f.grades.iter().map(|g| g.name.to_string()).collect();
         let tenants = f.realms.iter().map(|r| r.name.to_string()).collect();
@@ -184,7 +184,7 @@
 }
 
 /// What decoding alone does not find.
-fn check(f: &Facts<'_>) -> Result<(), String> {
+fn check(f: &PlatformSettings<'_>) -> Result<(), String> {
     let wrong = |key: String, what: &str| Err(format!("settings.{key}: {what}"));
     if f.n_instances == 0 {
         return wrong("NInstances".into(), "must be 1 or more");
@@ -241,20 +241,20 @@
 }
 
 /// Decodes one list as the platform's discovery writes it.
-pub fn decode_hosts(json: &[u8]) -> Result<HostList, String> {
+pub fn decode_host_list(json: &[u8]) -> Result<HostList, String> {
     host_list(from_json(json)?)
 }
 
 /// Takes the lists that are whole off the front of `text`, however they are laid out: on one line or on many, several
 /// on one. What is not whole yet stays. The lists before a value that makes no sense are good; the error is about it.
-pub fn take_host_lists(text: &mut Vec<u8>) -> (Vec<HostList>, Result<(), String>) {
+pub fn drain_host_lists(text: &mut Vec<u8>) -> (Vec<HostList>, Result<(), String>) {
     let (mut lists, mut used) = (Vec::new(), 0);
     let mut values = serde_json::Deserializer::from_slice(text).into_iter::<IgnoredAny>();
     let result = loop {
         match values.next() {
             Some(Ok(_)) => {
                 let end = values.byte_offset();
-                match decode_hosts(text[used..end].trim_ascii()) {
+                match decode_host_list(text[used..end].trim_ascii()) {
                     Ok(list) => lists.push(list),
                     Err(e) => break Err(e),
                 }
@@ -276,15 +276,15 @@
     let mut hosts = Vec::with_capacity(raw.hosts.len());
     for (i, h) in raw.hosts.into_iter().enumerate() {
         let state = match &*h.health {
-            "SERVING" => Listed::Ready,
-            "DRAINING" => Listed::Draining,
-            "DELETED" => Listed::Gone,
+            "SERVING" => ListedState::Ready,
+            "DRAINING" => ListedState::Draining,
+            "DELETED" => ListedState::Removed,
             other => return Err(format!("hosts[{i}].health: unknown state {other:?}")),
         };
         let dial = h.dial.as_deref().map(str::parse::<SocketAddr>);
         let dial = match (dial, state) {
             (Some(Ok(addr)), _) => Some(addr),
-            (_, Listed::Gone) => None,
+            (_, ListedState::Removed) => None,
             _ => return Err(format!("hosts[{i}].dial: not an address with a port")),
         };
         let listing = Listing {
@@ -294,7 +294,7 @@
             cell: h.block.unwrap_or(0),
             state,
             units: h.share.unwrap_or(1.0),
-            since: h.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
+            started_at: h.born_ms.filter(|&t| t != 0).map(|t| Micros(t.saturating_mul(1000))),
         };
         hosts.push((listing, dial));
     }
@@ -306,22 +306,22 @@
     /// Its name.
     pub name: String,
     /// Where clients connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where discovery answers.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators call (`GW_ADMIN_ADDR`, else `admin_addr`); `None`: nowhere.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Where the file alone says so: a change here is followed while the program runs, which no change of the
     /// environment can reach.
-    pub discovery_in_file: Option<SocketAddr>,
+    pub discovery_address_in_file: Option<SocketAddr>,
     /// For random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that the process may use.
     pub memory_mb: usize,
     /// The list as this balancer last had it.
-    pub known: HostList,
+    pub known_hosts: HostList,
     /// The module's settings.
     pub site: Site,
     /// How long a connection to an upstream may take.
@@ -329,7 +329,7 @@
     /// How long after being told that an upstream drains something new may still go there.
     pub drain_grace: Option<Micros>,
     /// Every attempt and every request gets a line in the log.
-    pub debug: bool,
+    pub debug_logging: bool,
 }
 
 #[derive(Deserialize)]
@@ -349,7 +349,7 @@
     #[serde(borrow, default)]
     known: Option<RawList<'a>>,
     #[serde(borrow)]
-    settings: Facts<'a>,
+    settings: PlatformSettings<'a>,
 }
 
 #[derive(Deserialize, Default)]
@@ -384,10 +384,10 @@
         let seed = u64::from_str_radix(&raw.seed, 16);
         let mut site = raw.settings.site().map_err(|e| format!("{path}: {e}"))?;
         site.settings.list_lease = Some(list_lease(&raw.settings));
-        if !site.settings.must_ask {
+        if !site.settings.watch_on_request {
             // On sockets a list is pushed by a watch, too, and what its agent has counts as told at once: the watch
             // is asked for at the start and, when it ends, again without a pause.
-            (site.settings.must_ask, site.settings.ask_within) = (true, Micros(0));
+            (site.settings.watch_on_request, site.settings.watch_request_within) = (true, Micros(0));
         }
         if raw.settings.grades.is_empty() {
             return Err(format!("{path}: settings.Grades: must name at least one class"));
@@ -414,17 +414,17 @@
             })?),
         };
         Ok(Config {
-            debug,
-            admin,
+            debug_logging: debug,
+            admin_address: admin,
             name: either("GW_NAME", "name", &raw.name)?,
-            listen: address("GW_LISTEN", "listen", &raw.listen)?,
-            discovery: address("GW_DISCOVERY", "discovery", &raw.discovery)?,
-            discovery_in_file: in_file
+            listen_address: address("GW_LISTEN", "listen", &raw.listen)?,
+            discovery_address: address("GW_DISCOVERY", "discovery", &raw.discovery)?,
+            discovery_address_in_file: in_file
                 .map_err(|_| format!("{path}: discovery: not an address with a port"))?,
             seed: seed.map_err(|_| format!("{path}: seed: {:?} is not 16 hex digits", raw.seed))?,
-            sockets,
+            max_descriptors: sockets,
             memory_mb,
-            known: host_list(known).map_err(|e| format!("{path}: known.{e}"))?,
+            known_hosts: host_list(known).map_err(|e| format!("{path}: known.{e}"))?,
             dial_timeout: raw.settings.limits.dial_timeout_us.map(Micros),
             drain_grace: raw.settings.contract.drain_grace_us.map(Micros),
             site,
@@ -434,11 +434,11 @@
 
 /// For how long a list is as good as a watch: until what it lacks counts as told, whatever settings say. What is decided until
 /// then may wait for a connection, and for a processor: the grace covers that, or else the lease does.
-fn list_lease(settings: &Facts<'_>) -> Micros {
+fn list_lease(settings: &PlatformSettings<'_>) -> Micros {
     const HELD_UP: Micros = Micros(150_000);
     let grace = Micros(settings.contract.drain_grace_us.unwrap_or(0));
     let connecting = Micros(settings.limits.dial_timeout_us.unwrap_or(0));
-    let told_after = Micros(TOLD_AFTER.as_micros() as i64);
+    let told_after = Micros(NOTIFIED_AFTER.as_micros() as i64);
     told_after + (grace - HELD_UP - connecting).min(Micros(0))
 }
 
@@ -456,10 +456,10 @@
     match &*g.semantics {
         "safe" => Effect::Safe,
         "keyed" => Effect::Keyed {
-            group: match g.key_scope.as_deref() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                _ => Group::Cell,
+            scope: match g.key_scope.as_deref() {
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Cell,
             },
             window: Micros(g.window_us.unwrap_or(0)),
         },
--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -10,7 +10,7 @@
 use crate::{ConnId, Net, Proxy, Reading, Watched};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use garnettally_decisions::facade::ListStanding;
+use garnettally_decisions::facade::ListFreshness;
 use slog::{info, warn};
 use std::collections::BTreeMap;
 use std::io;
@@ -102,8 +102,8 @@
     output: Vec<u8>,
     /// The number of bytes of `output` that the socket has accepted.
     written: usize,
-    /// When the connection was accepted; the complete call has to arrive within `limits.admin_call` of it.
-    /// Once the response is written: when that was; the caller has to close within the same time.
+    /// When the connection was accepted; the complete call has to arrive within `limits.admin_call_timeout`
+    /// of it. Once the response is written: when that was; the caller has to close within the same time.
     since: Instant,
     /// The response is written; what the caller still sends is discarded until it closes or its time has
     /// elapsed.
@@ -141,7 +141,7 @@
     /// The earliest time at which [`Admin::sweep`] has something to do: a connection's time has elapsed, or
     /// accepting resumes.
     pub fn next_wake(&self, net: &Net) -> Option<Instant> {
-        let expiries = self.conns.values().map(|c| c.since + net.limits.admin_call);
+        let expiries = self.conns.values().map(|c| c.since + net.limits.admin_call_timeout);
         expiries.chain(self.paused_until).min()
     }
 
@@ -153,7 +153,7 @@
     /// Whether idle connections of clients have to close now: by then the load balancer in front has stopped
     /// sending new ones.
     pub fn closes_idle(&self, net: &Net, now: Instant) -> bool {
-        self.drained_since.is_some_and(|at| now >= at + net.limits.drain_idle)
+        self.drained_since.is_some_and(|at| now >= at + net.limits.admin_drain_keepalive)
     }
 
     /// Stops listening and closes all connections, at the end of the process.
@@ -172,7 +172,7 @@
         let expired: Vec<ConnId> = self
             .conns
             .iter()
-            .filter(|(_, c)| now >= c.since + net.limits.admin_call)
+            .filter(|(_, c)| now >= c.since + net.limits.admin_call_timeout)
             .map(|(&id, _)| id)
             .collect();
         if self.paused_until.is_some_and(|at| at <= now) {
@@ -248,7 +248,7 @@
                         None => {
                             if let Some((_, token)) = &self.admin.listener {
                                 let _ = self.net.handle.disable(token);
-                                self.admin.paused_until = Some(Instant::now() + self.net.limits.accept_rest);
+                                self.admin.paused_until = Some(Instant::now() + self.net.limits.accept_pause);
                             }
                             return;
                         }
@@ -256,7 +256,7 @@
                     continue;
                 }
             };
-            while self.admin.conns.len() >= self.net.limits.admin_connections {
+            while self.admin.conns.len() >= self.net.limits.max_admin_connections {
                 let Some(oldest) = self.admin.conns.keys().next().copied() else { break };
                 self.admin.drop_conn(&self.net, oldest);
             }
@@ -350,13 +350,13 @@
     fn stats_text(&self, now: Instant) -> String {
         let at = self.net.clock.unix_time(now);
         let is_stale = |p: &&Pool| {
-            p.decisions.list_standing(at).is_some_and(|report| report.standing == ListStanding::Stale)
+            p.decisions.list_standing(at).is_some_and(|report| report.freshness == ListFreshness::Stale)
         };
         let lists_stale = self.pools.iter().filter(is_stale).count();
         let pending = self.exchanges.pending();
         let mut gauges = Gauges { pending, lists_stale, ..Gauges::default() };
         for pool in self.pools.iter().filter(|p| !p.leaving) {
-            let (members, unavailable) = pool.health.members(at);
+            let (members, unavailable) = pool.health.node_counts(at);
             gauges.members += members;
             gauges.members_unavailable += unavailable;
         }
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::upstreams::{Attempt, Ended, Target};
 use crate::{ConnId, Proxy};
 use garnettally_config::file::format::LogRequests;
-use garnettally_decisions::facade::{Ask, Code, Decision, ListStanding, Micros, Report, RequestId};
+use garnettally_decisions::facade::{Code, Decision, ListFreshness, Micros, PickRequest, Report, RequestId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slog::{debug, info};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     id: String,
     pool: PoolId,
     /// What the module is asked.
-    ask: Ask,
+    ask: PickRequest,
     request: Rc<Request>,
     /// Attempts so far, and those of them that are out.
     sends: u32,
@@ -63,7 +63,7 @@
 
 /// What the module is to hear of at its next turn.
 pub enum News {
-    Asked(Ask),
+    Asked(PickRequest),
     Known(Report),
 }
 
@@ -180,7 +180,7 @@
         let micros = |d: Duration| Micros(d.as_micros() as i64);
         let expires = self.net.clock.unix_time(now) + micros(a.deadline);
         let number = self.exchanges.number();
-        let ask = Ask {
+        let ask = PickRequest {
             request: number,
             class: a.class,
             tenant: a.tenant,
@@ -258,7 +258,7 @@
         if self.exchanges.conclude(request).is_some() {
             self.log_request(request, "gone", None, None, None);
             self.drop_unwritten(request);
-            self.queue_for(request, Report::Gone(request));
+            self.queue_for(request, Report::ClientLeft(request));
         }
     }
 
@@ -322,7 +322,7 @@
         }
         let over = x.over;
         if let Some((key, _)) = x.pin.filter(|_| never_ran) {
-            self.pins.never_ran(key, x.pin_number);
+            self.pins.attempt_never_ran(key, x.pin_number);
         }
         if let Some(target) = ended.target {
             self.note_health(target, ended.code, Instant::now());
@@ -338,7 +338,15 @@
             "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
         let held = ended.answer.as_ref().and_then(|a| a.in_flight);
         let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
-        let report = Report::Ended { request, attempt, code, latency, held_up, held, answered };
+        let report = Report::Ended {
+            request,
+            attempt,
+            code,
+            latency,
+            local_delay: held_up,
+            upstream_in_flight: held,
+            answered,
+        };
         self.queue_for(request, report);
         if passed.is_some() {
             self.drop_unwritten(request);
@@ -388,7 +396,7 @@
         let Some(pool) = self.pools.get_mut(id) else { return };
         for news in pool.take_news() {
             let ended = match &news {
-                News::Known(Report::Ended { request, .. } | Report::Gone(request)) => Some(*request),
+                News::Known(Report::Ended { request, .. } | Report::ClientLeft(request)) => Some(*request),
                 _ => None,
             };
             let decisions = match news {
@@ -429,7 +437,7 @@
                     }
                 }
                 Decision::Watch => self.start_watch(pool),
-                Decision::Note(text) => info!(self.net.log, "{}", text),
+                Decision::Log(text) => info!(self.net.log, "{}", text),
             }
         }
     }
@@ -446,8 +454,8 @@
         let (asked, pin, once) = (x.request.clone(), x.pin, x.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
             let now = self.net.clock.unix_time(Instant::now());
-            let several = x.route.as_ref().is_some_and(|r| r.route.pools.several());
-            let pinned = self.pins.sent(now, key, to.pool, now + window);
+            let several = x.route.as_ref().is_some_and(|r| r.route.pools.has_several());
+            let pinned = self.pins.record_attempt(now, key, to.pool, now + window);
             if let (Ok(number), Some(x)) = (pinned, self.exchanges.open.get_mut(&request)) {
                 x.pin_number = number;
             }
@@ -542,7 +550,7 @@
         let standing = self.pools.get(x.pool).and_then(|p| p.decisions.list_standing(now));
         Some(match standing {
             _ if x.sends + x.sends_before > 0 => RefusalReason::AttemptsFailed,
-            Some(s) if s.standing == ListStanding::Stale => RefusalReason::StaleList,
+            Some(s) if s.freshness == ListFreshness::Stale => RefusalReason::StaleList,
             _ => RefusalReason::NoRoom,
         })
     }
--- a/crates/serve/src/http.rs
+++ b/crates/serve/src/http.rs
@@ -176,12 +176,12 @@
 pub fn parse_request(buf: &[u8], limits: &Limits) -> Result<Incoming, HttpError> {
     // Empty lines before a request are skipped (RFC 9112, section 2.2).
     let start = buf.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Request::new(&mut space);
     let head_len = match head.parse(&buf[start..]) {
-        Ok(Status::Complete(n)) if n <= limits.head_bytes => start + n,
+        Ok(Status::Complete(n)) if n <= limits.max_head_bytes => start + n,
         Ok(Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError(431)),
-        Ok(Status::Partial) if buf.len() > limits.head_bytes => return Err(HttpError(431)),
+        Ok(Status::Partial) if buf.len() > limits.max_head_bytes => return Err(HttpError(431)),
         Ok(Status::Partial) => return Ok(Incoming::Partial { expects_continue: false }),
         Err(_) => return Err(HttpError(400)),
     };
@@ -201,7 +201,9 @@
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
-    let Some((body, used)) = parse_body(&buf[head_len..], framing, false, limits.body_bytes, limits)? else {
+    let Some((body, used)) =
+        parse_body(&buf[head_len..], framing, false, limits.max_request_body_bytes, limits)?
+    else {
         return Ok(Incoming::Partial { expects_continue: headers.expects_continue && buf.len() == head_len });
     };
     let text = |name: &str| -> Result<Option<String>, HttpError> {
@@ -238,13 +240,15 @@
     to_head: bool,
     limits: &Limits,
 ) -> Result<Option<Response>, HttpError> {
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut position = 0;
     loop {
         let mut head = httparse::Response::new(&mut space);
         let head_len = match head.parse(&buf[position..]) {
-            Ok(Status::Complete(n)) if n <= limits.head_bytes => n,
-            Ok(Status::Partial) if !ended && buf.len() - position <= limits.head_bytes => return Ok(None),
+            Ok(Status::Complete(n)) if n <= limits.max_head_bytes => n,
+            Ok(Status::Partial) if !ended && buf.len() - position <= limits.max_head_bytes => {
+                return Ok(None)
+            }
             _ => return Err(HttpError(502)),
         };
         let (status, version) = (head.code.unwrap_or(0), head.version.unwrap_or(0));
@@ -259,7 +263,7 @@
             (false, Some(n)) => Framing::Length(n),
             (false, None) => Framing::Close,
         };
-        let parsed = parse_body(&buf[position..], framing, ended, limits.answer_body_bytes, limits)
+        let parsed = parse_body(&buf[position..], framing, ended, limits.max_response_body_bytes, limits)
             .map_err(|HttpError(s)| HttpError(if s == 413 { 413 } else { 502 }))?;
         let Some((body, used)) = parsed else {
             return if ended { Err(HttpError(502)) } else { Ok(None) };
@@ -460,7 +464,7 @@
                 }
             } else if self.in_trailers {
                 let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-                    if rest.len() > limits.chunk_line_bytes {
+                    if rest.len() > limits.max_chunk_line_bytes {
                         return Err(HttpError(400));
                     }
                     break;
@@ -468,7 +472,9 @@
                 (self.done, position) = (end == 0, position + end + 2);
             } else {
                 match httparse::parse_chunk_size(rest).map_err(|_| HttpError(400))? {
-                    Status::Partial if rest.len() > limits.chunk_line_bytes => return Err(HttpError(400)),
+                    Status::Partial if rest.len() > limits.max_chunk_line_bytes => {
+                        return Err(HttpError(400))
+                    }
                     Status::Partial => break,
                     Status::Complete((n, size)) => {
                         position += n;
@@ -488,10 +494,10 @@
 /// Parses the head of a streamed response and returns its length in bytes, or `None` while it is incomplete.
 /// A response that is not a chunked 200 is an error.
 pub fn parse_stream_head(buf: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
-    let mut space = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Response::new(&mut space);
     match head.parse(buf) {
-        Ok(Status::Partial) if buf.len() <= limits.head_bytes => Ok(None),
+        Ok(Status::Partial) if buf.len() <= limits.max_head_bytes => Ok(None),
         Ok(Status::Complete(head_len)) => {
             let status = head.code.unwrap_or(0);
             let chunked = MessageHeaders::parse(head.headers, 1)?.chunked;
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -7,13 +7,13 @@
 use crate::source::{whole, Source};
 use crate::upstreams::Target;
 use crate::{Proxy, Shared};
-use garnettally_config::file::{Basis, Nodes};
+use garnettally_config::file::{PoolIdentity, PoolNodes};
 use garnettally_decisions::facade::{
-    Code, Decision, Decisions, ListStanding, Listed, Micros, Report, ServerId,
+    Code, Decision, Decisions, ListFreshness, ListedState, Micros, Report, ServerId,
 };
 use garnettally_model::HostList;
 use garnettally_routing::budget::HolderId;
-use garnettally_routing::failover::{Change, Fitness};
+use garnettally_routing::failover::{PoolFailover, Transition};
 use garnettally_routing::health;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
@@ -32,14 +32,14 @@
     /// The pool that has taken its source over, and hears for both.
     pub told_with: Option<PoolId>,
     /// What makes its instance of the module what it is.
-    pub basis: Option<Basis>,
+    pub basis: Option<PoolIdentity>,
     /// Where its nodes are told, as it is written.
-    pub nodes: Option<Nodes>,
+    pub nodes: Option<PoolNodes>,
     pub requests: HolderId,
     pub copies: HolderId,
     pub connections: HolderId,
-    pub health: health::Nodes,
-    pub fitness: Fitness,
+    pub health: health::NodeHealth,
+    pub fitness: PoolFailover,
     /// Requests and attempts that it still has.
     pub open: usize,
     /// Only being listed as draining binds.
@@ -55,7 +55,7 @@
     /// How far its module takes the wall clock to be ahead of its own.
     wall_ahead: Micros,
     /// What the log was last told of its list.
-    logged_standing: Option<ListStanding>,
+    logged_standing: Option<ListFreshness>,
     /// Its first call to discovery has had its time, or its list could be used without.
     is_started: bool,
     news: Vec<News>,
@@ -65,15 +65,15 @@
 impl Pool {
     /// Whether a request could go to one of its nodes, or may wait to hear of them.
     pub fn serves(&self) -> bool {
-        !self.leaving && (!self.told || self.health.ready() > 0)
+        !self.leaving && (!self.told || self.health.ready_count() > 0)
     }
 
     /// Whether it may take requests: a process that starts knows a list of any age, and waits for discovery's answer, but not
     /// for long.
     pub fn is_started(&self, now: Micros) -> bool {
-        let is_usable = |standing| matches!(standing, ListStanding::Watched | ListStanding::Leased);
+        let is_usable = |standing| matches!(standing, ListFreshness::Watched | ListFreshness::Leased);
         self.is_started
-            || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.standing))
+            || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
     }
 
     /// What the fleet's exchange of verdicts sees of it.
@@ -86,7 +86,7 @@
         let new = self.shared_by_fleet.is_some_and(|before| before.0 != share.0);
         if new {
             self.shared_by_fleet = Some(share);
-            self.decisions.share(share.0, share.1);
+            self.decisions.set_instances(share.0, share.1);
         }
         new
     }
@@ -127,7 +127,7 @@
     let settings = &plan.site.settings;
     let known = plan.known.as_ref().map_or(0, |list| list.seq);
     info!(log, "terms of the list of upstreams"; "tier" => settings.tier, "instances" => settings.instances,
-        "ask_within_ms" => milliseconds(settings.ask_within),
+        "ask_within_ms" => milliseconds(settings.watch_request_within),
         "lease_ms" => settings.list_lease.map(milliseconds),
         "connect_ms" => plan.connect.as_millis(), "known" => known);
 }
@@ -214,7 +214,7 @@
         let mut pool = Pool {
             id,
             name: plan.name,
-            drain_binds_alone: plan.site.settings.drain_binds_alone,
+            drain_binds_alone: plan.site.settings.removal_is_advisory,
             decisions: Decisions::new(plan.site, seed, at),
             source,
             told_with: None,
@@ -223,8 +223,8 @@
             requests,
             copies: self.budgets.copies.join(plan.requests),
             connections,
-            health: health::Nodes::default(),
-            fitness: Fitness::new(plan.failover, at),
+            health: health::NodeHealth::default(),
+            fitness: PoolFailover::new(plan.failover, at),
             open: 0,
             leaving: false,
             ready: false,
@@ -240,10 +240,10 @@
         let nothing = || HostList { seq: 0, whole: true, hosts: Vec::new() };
         let known = plan.known.or_else(|| matches!(pool.source, Source::Watch(_)).then(nothing));
         if let Some(known) = known {
-            pool.queue(Report::Known(known), now);
+            pool.queue(Report::InitialList(known), now);
         }
         if let Some(list) = told {
-            pool.queue(Report::Hosts(list), now);
+            pool.queue(Report::List(list), now);
         }
         self.pools.all.insert(id, pool);
         id
@@ -256,7 +256,7 @@
         self.budgets.requests.change(pool.requests, plan.requests);
         self.budgets.copies.change(pool.copies, plan.requests);
         self.budgets.connections.change(pool.connections, plan.connections);
-        pool.fitness.change(plan.failover.clone(), at);
+        pool.fitness.set_rules(plan.failover.clone(), at);
         pool.shared_by_fleet = plan.shared_by_fleet.then(|| pool.shared_by_fleet.unwrap_or((1, 0)));
         self.upstreams.set_terms(id, plan.terms(pool.connections));
         if pool.nodes.as_ref() == Some(&plan.nodes) {
@@ -264,17 +264,17 @@
         }
         match &plan.nodes {
             // The address alone moves; a watch on the old one ends.
-            Nodes::Watch(address) if matches!(pool.source, Source::Watch(_)) => {
+            PoolNodes::Discovery(address) if matches!(pool.source, Source::Watch(_)) => {
                 let address = *address;
                 pool.nodes = Some(plan.nodes);
                 self.follow_discovery(id, address);
             }
             nodes => {
                 let (source, told) = Source::new(nodes, now);
-                if let Some(Nodes::Static(hosts)) = Some(nodes) {
-                    pool.queue(Report::Hosts(whole(hosts.clone())), now);
+                if let Some(PoolNodes::Static(hosts)) = Some(nodes) {
+                    pool.queue(Report::List(whole(hosts.clone())), now);
                 } else if let Some(list) = told {
-                    pool.queue(Report::Hosts(list), now);
+                    pool.queue(Report::List(list), now);
                 }
                 pool.source = source;
                 pool.nodes = Some(plan.nodes);
@@ -325,8 +325,8 @@
         let Some(pool) = self.pools.get_mut(id) else { return Vec::new() };
         let (hint, mut found, mut left) = (pool.drain_binds_alone, Vec::new(), Vec::new());
         let mut all = false;
-        if let Report::Hosts(list) | Report::Known(list) = &report {
-            all = list.whole && matches!(report, Report::Hosts(_));
+        if let Report::List(list) | Report::InitialList(list) = &report {
+            all = list.whole && matches!(report, Report::List(_));
             for (listing, dial) in &list.hosts {
                 found.push((listing.name.clone(), *dial, listing.state));
             }
@@ -342,11 +342,11 @@
         }
         // The module has numbered them; nothing it decides is carried out before they have an address.
         let number = |name: &str| pool.decisions.upstream(name);
-        let found: Vec<(ServerId, _, Listed)> =
+        let found: Vec<(ServerId, _, ListedState)> =
             found.into_iter().filter_map(|(name, dial, state)| Some((number(&name)?, dial, state))).collect();
         if all {
             let named: rustc_hash::FxHashSet<ServerId> = found.iter().map(|f| f.0).collect();
-            let gone = pool.health.keep_listed(|id| named.contains(&id));
+            let gone = pool.health.retain_listed(|id| named.contains(&id));
             // Where only draining binds, being called gone is a hint that the module may doubt.
             left.extend(gone.iter().filter(|_| !hint).map(|&server| Target { pool: id, server }));
             // On the platform only draining binds: one that is left out may be sent to, and its connections cost.
@@ -356,14 +356,14 @@
         }
         for (server, dial, state) in found {
             let target = Target { pool: id, server };
-            pool.ready |= state == Listed::Ready;
-            pool.health.list(server, state);
+            pool.ready |= state == ListedState::Ready;
+            pool.health.set_listed(server, state);
             if let Some(address) = dial {
                 self.upstreams.moved(&self.net, target, address);
             }
-            if state != Listed::Ready {
+            if state != ListedState::Ready {
                 self.upstreams.close_idle(&self.net, target);
-                left.extend((state == Listed::Draining || !hint).then_some(target));
+                left.extend((state == ListedState::Draining || !hint).then_some(target));
             }
         }
         for target in left {
@@ -377,17 +377,17 @@
         let Some(pool) = self.pools.get_mut(id) else { return };
         pool.is_started = pool.is_started(now);
         let Some(report) = pool.decisions.list_standing(now) else { return };
-        if pool.logged_standing.replace(report.standing) == Some(report.standing) {
+        if pool.logged_standing.replace(report.freshness) == Some(report.freshness) {
             return;
         }
-        let state = match report.standing {
-            ListStanding::Watched => "watched",
-            ListStanding::Leased => "leased",
-            ListStanding::Stale => "stale",
-            ListStanding::Unverified => "unverified",
+        let state = match report.freshness {
+            ListFreshness::Watched => "watched",
+            ListFreshness::Leased => "leased",
+            ListFreshness::Stale => "stale",
+            ListFreshness::Unverified => "unverified",
         };
-        let asked_in = report.asked_at.map_or(0, |at| (at - now).0 / 1000);
-        info!(self.net.log, "the list of upstreams"; "state" => state, "ready" => pool.health.ready(),
+        let asked_in = report.next_call_at.map_or(0, |at| (at - now).0 / 1000);
+        info!(self.net.log, "the list of upstreams"; "state" => state, "ready" => pool.health.ready_count(),
             "asked_in_ms" => asked_in, "pool" => &pool.name);
     }
 
@@ -395,7 +395,7 @@
     pub fn note_health(&mut self, target: Target, code: Code, now: Instant) {
         let at = self.net.clock.unix_time(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
-            pool.health.ended(at, target.server, code);
+            pool.health.attempt_ended(at, target.server, code);
         }
     }
 
@@ -416,9 +416,9 @@
             let share = pool.health.healthy_share(at);
             if let Some(change) = pool.fitness.update(at, share) {
                 let what = match change {
-                    Change::Left => "the pool is left: too few of its nodes are well",
-                    Change::Returning => "the pool is returned to",
-                    Change::Fit => "the pool has all its requests again",
+                    Transition::Left => "the pool is left: too few of its nodes are well",
+                    Transition::Returning => "the pool is returned to",
+                    Transition::Restored => "the pool has all its requests again",
                 };
                 info!(self.net.log, "{}", what; "pool" => &pool.name, "healthy" => share);
             }
