--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -2,12 +2,12 @@
 //! clients. Its connections take no part of the callers' budgets and have a limit of their own, so that
 //! neither an overload of clients nor callers that never complete a call can starve it.
 
-use crate::callers::{accept, Accepted};
+use crate::callers::{accept, AcceptResult};
 use crate::http::{write_response, OutgoingResponse};
 use crate::pools::Pool;
 use crate::socket_errors::AcceptFailure;
 use crate::stats::Gauges;
-use crate::{ConnId, Net, Proxy, Reading, Watched};
+use crate::{ConnId, Net, Proxy, ReadStatus, WatchedStream};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use garnettally_decisions::facade::ListFreshness;
@@ -97,7 +97,7 @@
 }
 
 struct Conn {
-    socket: Watched,
+    socket: WatchedStream,
     input: Vec<u8>,
     output: Vec<u8>,
     /// The number of bytes of `output` that the socket has accepted.
@@ -221,7 +221,7 @@
 
 fn flush(conn: &mut Conn) -> io::Result<()> {
     if conn.written < conn.output.len() {
-        crate::write(&conn.socket.stream, &conn.output, &mut conn.written)?;
+        crate::write_pending(&conn.socket.stream, &conn.output, &mut conn.written)?;
         if conn.written == conn.output.len() {
             conn.socket.stream.shutdown(Shutdown::Write)?;
         }
@@ -236,10 +236,10 @@
         let listener = listener.clone();
         loop {
             let stream = match accept(&listener) {
-                Accepted::Stream(stream) => stream,
+                AcceptResult::Stream(stream) => stream,
                 // The level-triggered listener reports connections that are still queued again.
-                Accepted::Failed(AcceptFailure::Empty | AcceptFailure::Connection, _) => return,
-                Accepted::Failed(_, e) => {
+                AcceptResult::Failed(AcceptFailure::Empty | AcceptFailure::Connection, _) => return,
+                AcceptResult::Failed(_, e) => {
                     // No descriptor is left: the oldest admin connection is closed to free one, and the new
                     // connection stays in the queue meanwhile.
                     warn!(self.net.log, "an admin connection could not be accepted"; "error" => %e);
@@ -260,7 +260,7 @@
                 let Some(oldest) = self.admin.conns.keys().next().copied() else { break };
                 self.admin.drop_conn(&self.net, oldest);
             }
-            let id = self.net.number();
+            let id = self.net.next_connection_id();
             let ready = move |proxy: &mut Proxy, _| proxy.admin_ready(id);
             let watched = stream.set_nonblocking(true).and_then(|()| self.net.watch(stream, ready));
             let Ok(socket) = watched else { continue };
@@ -284,7 +284,7 @@
         let reading = self.net.read(&conn.socket.stream, &mut conn.input, MAX_HEAD_BYTES);
         if conn.responded {
             conn.input.clear();
-            if reading != Reading::Open && conn.written == conn.output.len() {
+            if reading != ReadStatus::Open && conn.written == conn.output.len() {
                 self.admin.drop_conn(&self.net, id);
             }
             return;
@@ -296,7 +296,7 @@
                 self.admin_call(id, call, &input);
             }
             (Parsed::Malformed, _) => self.admin.respond(&self.net, id, 400, b""),
-            (Parsed::Partial, Reading::Open) => {}
+            (Parsed::Partial, ReadStatus::Open) => {}
             (Parsed::Partial, _) => self.admin.drop_conn(&self.net, id),
         }
     }
@@ -304,7 +304,7 @@
     fn admin_call(&mut self, id: ConnId, call: AdminCall, head: &[u8]) {
         let now = Instant::now();
         let (status, body) = match call {
-            AdminCall::Health if self.ready() => (200, b"ok\n".to_vec()),
+            AdminCall::Health if self.is_ready() => (200, b"ok\n".to_vec()),
             AdminCall::Health => (503, b"no\n".to_vec()),
             AdminCall::Stats => (200, self.stats_text(now).into_bytes()),
             AdminCall::Members => match &self.fleet {
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -1,5 +1,5 @@
-//! From a request to the class, tenant, key and pool that it gets: by the platform's protocol, or by the routes of
-//! the version in force.
+//! Determines the class, tenant, key and pool of a request: by the platform's protocol, or by the routes of
+//! the active version of the operator's file.
 
 use crate::http::{self, HttpError, Request};
 use crate::pools::PoolId;
@@ -18,35 +18,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One version of the operator's file, in force.
-pub struct Version {
+/// The routing tables of one version of the operator's file.
+pub struct ActiveConfig {
     table: RouteTable,
-    routes: Vec<Rc<RouteInForce>>,
+    routes: Vec<Rc<ActiveRoute>>,
+    /// The name and effect of each class, by its identifier.
     classes: Vec<(String, Effect)>,
     tenants: FxHashMap<String, TenantId>,
 }
 
-/// A route, and what its requests are counted in.
-pub struct RouteInForce {
+/// A route of the active version, and its holder in the request budget.
+pub struct ActiveRoute {
     pub route: Route,
     pub holder: HolderId,
-    /// The pools of the version, by their places in its file.
+    /// All pools of the version, by their index in the file.
     pools: Rc<[PoolId]>,
 }
 
-impl Version {
-    /// Puts a checked file in force, with the pools that its own stand for.
+impl ActiveConfig {
+    /// Builds the tables of a validated file. `pools`: the running pool for each pool in the file. `holder`
+    /// returns the budget holder for a route of this name and share.
     pub fn new(
         operator: OperatorConfig,
         pools: Vec<PoolId>,
         mut holder: impl FnMut(&str, garnettally_routing::budget::Share) -> HolderId,
-    ) -> Version {
+    ) -> ActiveConfig {
         let pools: Rc<[PoolId]> = pools.into();
         let routes = operator.routes.into_iter().map(|(route, share)| {
-            Rc::new(RouteInForce { holder: holder(&route.name, share), route, pools: pools.clone() })
+            Rc::new(ActiveRoute { holder: holder(&route.name, share), route, pools: pools.clone() })
         });
         let tenants = operator.tenants.into_iter().enumerate().map(|(i, name)| (name, TenantId(i as u32)));
-        Version {
+        ActiveConfig {
             table: operator.table,
             routes: routes.collect(),
             classes: operator
@@ -63,50 +65,57 @@
         self.classes.get(id.0 as usize).map_or("", |c| c.0.as_str())
     }
 
-    /// The routes and what they are counted in.
+    /// The name of each route, and its holder in the request budget.
     pub fn holders(&self) -> impl Iterator<Item = (&str, HolderId)> {
         self.routes.iter().map(|r| (r.route.name.as_str(), r.holder))
     }
 }
 
-/// What a request that finds no room is told: limits free up within about the time that requests take.
-pub const RETURN_AFTER: Duration = Duration::from_secs(1);
+/// The wait that a request without room is advised to take: limits become free within about the duration of a
+/// request.
+pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a request can't be taken.
-pub enum Unfit {
-    /// It is at fault.
-    Bad(HttpError),
-    /// There is no room for it, or nowhere that it may go: trying again is harmless.
-    Refused { retry_after: Option<Duration>, route: Option<Rc<RouteInForce>> },
+/// The reason for which a request is not admitted.
+pub enum AdmissionError {
+    /// The request itself is faulty.
+    Rejected(HttpError),
+    /// The limits have no room for the request, or no pool may get it; trying again is harmless.
+    /// `retry_after`: the client's advised wait.
+    Refused { retry_after: Option<Duration>, route: Option<Rc<ActiveRoute>> },
 }
 
-/// A request that can be taken, as far as routing tells.
+/// A request that routing admits; the limits are not checked yet.
 pub struct Admitted {
+    /// The caller's identifier of the request, or a random one.
     pub id: String,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
+    /// The time within which the response is due, from the arrival of the request.
     pub deadline: Duration,
+    /// The caller's cost hint: the work that it expects the request to take.
     pub cost: Option<Duration>,
+    /// The client has sent this request before.
     pub repeat: bool,
-    /// What it concerns, as the module is told.
+    /// The identifier of the key that the request concerns, for the decision module.
     pub subject: Option<KeyId>,
     pub pool: PoolId,
-    /// Where it may go if nothing of it can have run there, in order.
-    pub others: Vec<PoolId>,
-    pub route: Option<Rc<RouteInForce>>,
-    /// Its key and window, where a repeat must not go to another pool.
+    /// The pools that may get the request after `pool`, in order, if no attempt can have run.
+    pub fallback_pools: Vec<PoolId>,
+    pub route: Option<Rc<ActiveRoute>>,
+    /// The hash of the idempotency key and the key's window, if a repeat must not go to another pool.
     pub pin: Option<(u64, Micros)>,
-    /// The pool that gets a copy.
+    /// The shadow pool that gets a mirrored copy.
     pub mirror: Option<PoolId>,
-    /// The names of class and tenant, for the log.
+    /// The names of class and tenant for the log; `None`: requests are not logged.
     pub labels: Option<Labels>,
-    /// The class's name, for the figures: open requests keep it across a reload.
+    /// The class's name for the metrics; open requests keep it across a reload.
     pub class_name: Rc<str>,
-    /// For how long after an attempt that may have run another may be sent; `None`: for ever.
+    /// For how long after an attempt that may have run another may be sent: zero for unsafe classes; `None`:
+    /// without limit.
     pub repeat_within: Option<Duration>,
 }
 
-/// The same, as the class's effect has it.
+/// The value of [`Admitted::repeat_within`] for a class's effect.
 fn repeat_within(effect: &Effect) -> Option<Duration> {
     match effect {
         Effect::Safe => None,
@@ -115,7 +124,7 @@
     }
 }
 
-/// Names for the log.
+/// The names that a request's log line contains.
 #[derive(Clone)]
 pub struct Labels {
     pub class: String,
@@ -123,24 +132,26 @@
 }
 
 impl Proxy {
-    /// Finds class and pool of a request.
-    pub fn admit(&mut self, request: &mut Request, now: Instant) -> Result<Admitted, Unfit> {
-        match &self.version {
-            Some(version) => {
-                let version = version.clone();
-                self.admit_by_route(&version, request, now)
+    /// Determines the class, pool and further properties of a request.
+    pub fn admit(&mut self, request: &mut Request, now: Instant) -> Result<Admitted, AdmissionError> {
+        match &self.active_config {
+            Some(config) => {
+                let config = config.clone();
+                self.admit_by_route(&config, request, now)
             }
-            None => self.admit_by_protocol(request).map_err(Unfit::Bad),
+            None => self.admit_by_protocol(request).map_err(AdmissionError::Rejected),
         }
     }
 
+    /// Admits a request by the platform's protocol: the path names the class.
     fn admit_by_protocol(&self, request: &Request) -> Result<Admitted, HttpError> {
         let call = http::parse_call(request)?;
-        // The newest settings that know the class, served by a pool that is ready; before a new pool has its list,
-        // the one of the settings before serves what it knows.
-        let knows = |p: &&crate::pools::Pool| !p.leaving && p.decisions.class(call.class).is_some();
-        let newest_ready = self.pools.iter().filter(knows).filter(|p| p.ready).last();
-        let pool = newest_ready.or_else(|| self.pools.iter().filter(knows).last()).ok_or(HttpError(404))?;
+        // Among the pools whose settings contain the class, the newest one that is ready serves the request.
+        // Until a new pool has its list, the pool of the previous settings serves the classes it has.
+        let has_class = |p: &&crate::pools::Pool| !p.leaving && p.decisions.class(call.class).is_some();
+        let newest_ready = self.pools.iter().filter(has_class).filter(|p| p.ready).last();
+        let pool =
+            newest_ready.or_else(|| self.pools.iter().filter(has_class).last()).ok_or(HttpError(404))?;
         let (class, effect) = pool.decisions.class(call.class).ok_or(HttpError(404))?;
         match effect {
             Effect::Safe if !call.read_only => return Err(HttpError(405)),
@@ -157,7 +168,7 @@
             repeat: call.repeat,
             subject: call.subject.map(key_id),
             pool: pool.id,
-            others: Vec::new(),
+            fallback_pools: Vec::new(),
             route: None,
             pin: None,
             mirror: None,
@@ -167,12 +178,13 @@
         })
     }
 
+    /// Admits a request by the routes of the operator's file.
     fn admit_by_route(
         &mut self,
-        version: &Version,
+        config: &ActiveConfig,
         request: &mut Request,
         now: Instant,
-    ) -> Result<Admitted, Unfit> {
+    ) -> Result<Admitted, AdmissionError> {
         let at = self.net.clock.unix_time(now);
         let id = match &request.id {
             Some(id) if !id.is_empty() => id.clone(),
@@ -183,106 +195,111 @@
             }
         };
         let request = &*request;
-        let subject = RequestView {
+        let view = RequestView {
             method: &request.method,
             host: &request.host,
             path: request.path(),
             query: request.query(),
             headers: request,
         };
-        let found = version.table.find(&subject).ok_or(Unfit::Bad(HttpError(404)))?;
-        let in_force = version.routes[found.route_index].clone();
-        let route = &in_force.route;
-        let refused = |retry_after| Unfit::Refused { retry_after, route: Some(in_force.clone()) };
-        let (class, effect) = &version.classes[route.class.0 as usize];
-        let tenant = route.tenant.as_ref().and_then(|s| s.extract(&subject, &found.params));
-        let key_text = route.key.as_ref().and_then(|s| s.extract(&subject, &found.params));
+        let matched = config.table.find(&view).ok_or(AdmissionError::Rejected(HttpError(404)))?;
+        let active_route = config.routes[matched.route_index].clone();
+        let route = &active_route.route;
+        let refused =
+            |retry_after| AdmissionError::Refused { retry_after, route: Some(active_route.clone()) };
+        let (class, effect) = &config.classes[route.class.0 as usize];
+        let tenant = route.tenant.as_ref().and_then(|s| s.extract(&view, &matched.params));
+        let key_text = route.key.as_ref().and_then(|s| s.extract(&view, &matched.params));
         if matches!(effect, Effect::Keyed { .. }) && key_text.is_none() {
-            return Err(Unfit::Bad(HttpError(400)));
+            return Err(AdmissionError::Rejected(HttpError(400)));
         }
-        let deadline =
-            route.deadline.resolve(&subject, &found.params).map_err(|_| Unfit::Bad(HttpError(400)))?;
-        let (cost, repeat) = http::parse_hints(request).map_err(Unfit::Bad)?;
-        // Keys of one class are one space; what else is hashed is this process's own affair.
-        let hashed = |text: &str| stable_hash(self.key_seed ^ u64::from(route.class.0), text.as_bytes());
+        let deadline = route
+            .deadline
+            .resolve(&view, &matched.params)
+            .map_err(|_| AdmissionError::Rejected(HttpError(400)))?;
+        let (cost, repeat) = http::parse_hints(request).map_err(AdmissionError::Rejected)?;
+        // Keys of different classes are hashed separately. The seed is this process's own: only this process
+        // compares these hashes.
+        let seeded_hash = |text: &str| stable_hash(self.key_seed ^ u64::from(route.class.0), text.as_bytes());
         let pin = match (effect, &key_text) {
-            (Effect::Keyed { window, .. }, Some(text)) => Some((hashed(text), *window)),
+            (Effect::Keyed { window, .. }, Some(text)) => Some((seeded_hash(text), *window)),
             _ => None,
         };
-        // Where a key goes must be the same in every process, so that hash has no seed.
-        let spread = match &key_text {
+        // Every process has to choose the same pool for a key, so this hash has no seed.
+        let pool_hash = match &key_text {
             Some(text) => stable_hash(0, text.as_bytes()),
             None => stable_hash(0, id.as_bytes()),
         };
-        let place = |place: usize| in_force.pools[place];
-        let (mut pool, mut others) = match &route.pools {
-            PoolChoice::Single(only) => (place(*only), Vec::new()),
+        let pool_id = |index: usize| active_route.pools[index];
+        let (mut pool, mut fallback_pools) = match &route.pools {
+            PoolChoice::Single(only) => (pool_id(*only), Vec::new()),
             PoolChoice::Split(split) => {
-                let none = refused(None);
-                (place(split.choose(spread).ok_or(none)?), Vec::new())
+                let refusal = refused(None);
+                (pool_id(split.choose(pool_hash).ok_or(refusal)?), Vec::new())
             }
             PoolChoice::Failover(list) => {
-                let ids: Vec<PoolId> = list.iter().map(|&p| place(p)).collect();
+                let ids: Vec<PoolId> = list.iter().map(|&p| pool_id(p)).collect();
                 let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.fitness);
-                let first = failover::choose_pool(fitness, at, spread).unwrap_or(0);
-                let others = ids.iter().enumerate().filter(|(i, _)| *i != first).map(|(_, id)| *id);
-                (ids[first], others.collect())
+                let first = failover::choose_pool(fitness, at, pool_hash).unwrap_or(0);
+                let fallbacks = ids.iter().enumerate().filter(|(i, _)| *i != first).map(|(_, id)| *id);
+                (ids[first], fallbacks.collect())
             }
         };
         if let Some((key, _)) = pin {
             match self.pins.get(at, key) {
-                Some((bound, until)) => {
-                    // Only there a repeat is dropped; if it is gone, the window has to end first.
-                    if self.pools.get(bound).is_none_or(|p| p.leaving) {
+                Some((pinned, until)) => {
+                    // Only the pinned pool recognizes a repeat. If that pool was removed, the request has to
+                    // wait until the window ends.
+                    if self.pools.get(pinned).is_none_or(|p| p.leaving) {
                         let wait = Duration::from_micros((until - at).0.max(0) as u64);
                         return Err(refused(Some(wait)));
                     }
-                    (pool, others) = (bound, Vec::new());
+                    (pool, fallback_pools) = (pinned, Vec::new());
                 }
                 None if route.pools.has_several() && self.pins.is_full(at) => {
-                    return Err(refused(Some(RETURN_AFTER)));
+                    return Err(refused(Some(RETRY_AFTER)));
                 }
                 None => {}
             }
         }
-        // Without a node there is nothing to wait for; the next pool of a list is asked at once.
+        // A pool without nodes can't serve the request; the next pool of the list is chosen at once.
         let serves = |id: PoolId| self.pools.get(id).is_some_and(|p| p.serves());
         while !serves(pool) {
-            if others.is_empty() {
-                return Err(refused(Some(RETURN_AFTER)));
+            if fallback_pools.is_empty() {
+                return Err(refused(Some(RETRY_AFTER)));
             }
-            pool = others.remove(0);
+            pool = fallback_pools.remove(0);
         }
         let labels = (self.log_requests != LogRequests::None)
             .then(|| Labels { class: class.clone(), tenant: tenant.as_deref().map(str::to_string) });
         Ok(Admitted {
             class: route.class,
-            tenant: tenant.and_then(|t| version.tenants.get(&*t).copied()),
+            tenant: tenant.and_then(|t| config.tenants.get(&*t).copied()),
             deadline: Duration::from_micros(deadline.0.max(0) as u64),
             cost,
             repeat,
             subject: key_text.as_deref().map(key_id),
             pool,
-            others,
+            fallback_pools,
             mirror: route
                 .mirror
                 .as_ref()
                 .filter(|m| m.selects(stable_hash(0, id.as_bytes())))
-                .map(|m| place(m.pool)),
+                .map(|m| pool_id(m.pool)),
             id,
             pin,
             class_name: class.as_str().into(),
             repeat_within: repeat_within(effect),
             labels,
-            route: Some(in_force.clone()),
+            route: Some(active_route.clone()),
         })
     }
 
-    /// Whose shares a request takes part in: its pool's, its route's and its listener's.
+    /// The holders in the request budget that a request is counted in: its pool, its route and its listener.
     pub fn holders(
         &self,
         pool: PoolId,
-        route: Option<&RouteInForce>,
+        route: Option<&ActiveRoute>,
         listener: Option<HolderId>,
     ) -> [Option<HolderId>; 3] {
         [self.pools.get(pool).map(|p| p.requests), route.map(|r| r.holder), listener]
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -1,16 +1,16 @@
-//! The downstream side: the listener and the connections of callers.
+//! The downstream side: the listeners and the connections of callers.
 
-use crate::admission::Unfit;
-use crate::exchange::Final;
+use crate::admission::AdmissionError;
+use crate::exchange::FinalResponse;
 use crate::http::{self, HttpError, Incoming, OutgoingResponse};
 use crate::lease::Lease;
 use crate::pools::Budgets;
 use crate::reasons::CloseReason;
 use crate::socket_errors::{accept_failure, AcceptFailure};
-use crate::{ConnId, Net, Proxy, Reading, Watched};
+use crate::{ConnId, Net, Proxy, ReadStatus, WatchedStream};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use garnettally_config::file::Listener as Plan;
+use garnettally_config::file::Listener as ListenerConfig;
 use garnettally_decisions::facade::RequestId;
 use garnettally_routing::budget::{exceeds_share, HolderId, Refusal, Share};
 use rustc_hash::FxHashMap;
@@ -24,69 +24,84 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a caller's connection is doing.
+/// The state of a caller's connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum State {
-    /// Between requests, or in the middle of one that is not whole.
+enum ConnState {
+    /// The connection is between requests, or a request is being received.
     Reading,
-    /// It waits for the answer to this one.
+    /// A complete request was received, and its response is outstanding.
     Waiting(RequestId),
-    /// It has had its last answer; what it still sends is thrown away.
+    /// The last response was given; what the peer still sends is discarded.
     Lingering,
 }
 
+/// A connection of a caller.
 struct Conn {
     listener: ListenerId,
-    /// Its places among the connections of both sides, and among the callers'.
-    lease: Lease,
-    _caller: Lease,
-    socket: Watched,
-    state: State,
+    /// The connection's unit of the budget for the connections of both sides.
+    connection_lease: Lease,
+    /// The connection's unit of the budget for callers' connections.
+    caller_lease: Lease,
+    socket: WatchedStream,
+    state: ConnState,
+    /// The bytes of requests that are received and not processed yet.
     input: Vec<u8>,
-    /// What has come behind the input while a request waits. It is read so that the end behind it is seen.
-    ahead: VecDeque<u8>,
+    /// Bytes that follow `input` and arrived while a request awaits its response. They are read so that a
+    /// close behind them is noticed.
+    read_ahead: VecDeque<u8>,
     output: Vec<u8>,
+    /// The number of bytes of `output` that the socket has accepted.
     written: usize,
-    close: bool,
-    continued: bool,
-    /// It has brought a whole request.
-    spoke: bool,
-    /// It came up, fell idle, or began its present request, at this time. Its first request has begun when it
-    /// came up: who connects and says nothing is as slow as who sends half a head.
+    /// The connection closes after the next response.
+    close_after_response: bool,
+    /// A `100 Continue` was sent for the request that is being received.
+    sent_continue: bool,
+    /// The connection has carried a complete request.
+    had_request: bool,
+    /// When the connection was accepted, became idle, or began its current request. The first request counts
+    /// as begun when the connection is accepted: a client that connects and sends nothing is as slow as one
+    /// that sends half a head.
     since: Instant,
 }
 
-/// The number of a listener; never used again.
+/// The number of a listener; numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListenerId(u64);
 
-/// One address that callers connect to.
+/// An address that callers connect to.
 struct Listener {
+    /// The name in the configuration.
     name: String,
-    /// As the configuration says; with port 0 another one is bound.
+    /// The address in the configuration; with port 0 the system binds a port of its choice.
     address: SocketAddr,
-    /// `None`: it is closed, and its connections end.
+    /// `None`: the listener is closed, and its connections end.
     socket: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// When accepting goes on, if it rests.
-    resume: Option<Instant>,
-    connections: HolderId,
-    callers: HolderId,
-    requests: HolderId,
-    memory: Share,
+    /// When accepting resumes; `None`: it is not paused.
+    paused_until: Option<Instant>,
+    /// The listener's holder in the budget for the connections of both sides.
+    connection_holder: HolderId,
+    /// The listener's holder in the budget for callers' connections.
+    caller_holder: HolderId,
+    /// The listener's holder in the budget for requests.
+    request_holder: HolderId,
+    /// The listener's share of the memory for incomplete requests and for bytes that are read ahead.
+    memory_share: Share,
 }
 
 /// The listeners and their connections.
 #[derive(Default)]
 pub struct Callers {
     listeners: BTreeMap<ListenerId, Listener>,
-    next: u64,
+    /// The number given to the newest listener.
+    last_listener: u64,
     conns: FxHashMap<ConnId, Conn>,
-    /// Those that had more than one turn takes.
+    /// The connections that had more input than one round reads.
     unread: Vec<ConnId>,
 }
 
-/// Binds an address and begins to listen; nothing is accepted before [`Callers::add`] has it watched. With
-/// `shared`, a second process that replaces this one may listen on the same address beside it (SO_REUSEPORT).
+/// Binds an address and begins to listen; connections are accepted once [`Callers::add_listener`] has
+/// registered the socket. With `shared`, a second process that replaces this one may listen on the same
+/// address at the same time (SO_REUSEPORT).
 pub fn bind(net: &Net, address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?; // a restart must not wait for the old connections
@@ -98,10 +113,16 @@
 }
 
 impl Callers {
-    /// Accepts on a listener that is bound.
-    pub fn add(&mut self, net: &Net, budgets: &Budgets, plan: Plan, bound: TcpListener) -> io::Result<()> {
-        self.next += 1;
-        let id = ListenerId(self.next);
+    /// Adds a listener whose socket is bound, and starts accepting on it.
+    pub fn add_listener(
+        &mut self,
+        net: &Net,
+        budgets: &Budgets,
+        config: ListenerConfig,
+        bound: TcpListener,
+    ) -> io::Result<()> {
+        self.last_listener += 1;
+        let id = ListenerId(self.last_listener);
         let listener = Rc::new(bound);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
         let token = net.handle.insert_source(source, move |_, _, proxy: &mut Proxy| {
@@ -110,88 +131,97 @@
         });
         let token = token.map_err(|e| io::Error::other(e.error))?;
         let listener = Listener {
-            name: plan.name,
-            address: plan.address,
+            name: config.name,
+            address: config.address,
             socket: Some((listener, token)),
-            resume: None,
-            connections: budgets.connections.join(plan.connections),
-            callers: budgets.callers.join(plan.connections),
-            requests: budgets.requests.join(plan.requests),
-            memory: plan.memory_bytes,
+            paused_until: None,
+            connection_holder: budgets.connections.join(config.connections),
+            caller_holder: budgets.callers.join(config.connections),
+            request_holder: budgets.requests.join(config.requests),
+            memory_share: config.memory_bytes,
         };
         self.listeners.insert(id, listener);
         Ok(())
     }
 
     /// The open listeners: number, name and configured address.
-    pub fn listening(&self) -> impl Iterator<Item = (ListenerId, &str, SocketAddr)> {
+    pub fn open_listeners(&self) -> impl Iterator<Item = (ListenerId, &str, SocketAddr)> {
         let open = self.listeners.iter().filter(|(_, l)| l.socket.is_some());
         open.map(|(&id, l)| (id, l.name.as_str(), l.address))
     }
 
-    /// Changes the shares of a listener that stays.
-    pub fn change(&mut self, budgets: &Budgets, id: ListenerId, plan: &Plan) {
-        if let Some(l) = self.listeners.get_mut(&id) {
-            budgets.connections.change(l.connections, plan.connections);
-            budgets.callers.change(l.callers, plan.connections);
-            budgets.requests.change(l.requests, plan.requests);
-            l.memory = plan.memory_bytes;
+    /// Changes the shares of a listener that a new configuration keeps.
+    pub fn set_shares(&mut self, budgets: &Budgets, id: ListenerId, config: &ListenerConfig) {
+        if let Some(listener) = self.listeners.get_mut(&id) {
+            budgets.connections.change(listener.connection_holder, config.connections);
+            budgets.callers.change(listener.caller_holder, config.connections);
+            budgets.requests.change(listener.request_holder, config.requests);
+            listener.memory_share = config.memory_bytes;
         }
     }
 
-    /// Ends a listener, after what the kernel has accepted for it was taken. Its connections go on until they are
-    /// between requests.
+    /// Closes a listener's socket; connections in the kernel's queue have to be accepted before. Its
+    /// connections stay open until they are between requests.
     fn close_listener(&mut self, net: &Net, id: ListenerId) {
         if let Some(listener) = self.listeners.get_mut(&id) {
             if let Some((_, token)) = listener.socket.take() {
                 net.handle.remove(token);
             }
-            listener.resume = None;
+            listener.paused_until = None;
         }
     }
 
-    /// Whose share of the requests those of a listener are.
+    /// The holder in the request budget that a listener's requests are counted in.
     pub fn request_holder(&self, id: ListenerId) -> Option<HolderId> {
-        self.listeners.get(&id).map(|l| l.requests)
+        self.listeners.get(&id).map(|l| l.request_holder)
     }
 
+    /// The configured name of a listener; empty if it was removed.
     pub fn listener_name(&self, id: ListenerId) -> &str {
         self.listeners.get(&id).map_or("", |l| l.name.as_str())
     }
 
-    /// A request that waits for its answer has got another number.
-    pub fn waits_for(&mut self, caller: ConnId, number: RequestId) {
+    /// Replaces the number of the request whose response a connection awaits.
+    pub fn set_awaited_request(&mut self, caller: ConnId, number: RequestId) {
         if let Some(conn) = self.conns.get_mut(&caller) {
-            conn.state = State::Waiting(number);
+            conn.state = ConnState::Waiting(number);
         }
     }
 
-    /// When accepting goes on, where it rests.
-    pub fn resume_at(&self) -> Option<Instant> {
-        self.listeners.values().filter_map(|l| l.resume).min()
+    /// The earliest time at which a listener resumes accepting; `None`: accepting is paused nowhere.
+    pub fn accepting_resumes_at(&self) -> Option<Instant> {
+        self.listeners.values().filter_map(|l| l.paused_until).min()
     }
 
-    /// The connection between requests that is missed least, of those that fit: one that never brought a request,
-    /// before those of the usual clients, who come back to theirs; then the one that has been idle for longest.
-    fn oldest_idle(&self, fresh: Option<Instant>, fits: impl Fn(&Conn) -> bool) -> Option<ConnId> {
-        let idle =
-            self.conns.iter().filter(|(_, c)| c.idle() && fresh.is_none_or(|at| c.spoke || c.since <= at));
-        idle.filter(|(_, c)| fits(c)).min_by_key(|(_, c)| (c.spoke, c.since)).map(|(&id, _)| id)
+    /// The idle connection whose loss matters least, among those that `fits` selects: first connections that
+    /// never carried a request, then those of regular clients, who will reuse them; of each the one that has
+    /// been idle for longest. Connections without a request are left out if they were accepted
+    /// after `accepted_by`.
+    fn least_needed_idle(
+        &self,
+        accepted_by: Option<Instant>,
+        fits: impl Fn(&Conn) -> bool,
+    ) -> Option<ConnId> {
+        let idle = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.is_idle() && accepted_by.is_none_or(|at| c.had_request || c.since <= at));
+        idle.filter(|(_, c)| fits(c)).min_by_key(|(_, c)| (c.had_request, c.since)).map(|(&id, _)| id)
     }
 
-    /// Whether a listener's connections hold more than they may of requests that are not whole, and of those that
-    /// wait behind another.
-    fn hold_too_much(&self, id: ListenerId, capacity: usize) -> bool {
-        let mut held: BTreeMap<ListenerId, (Share, usize)> =
-            self.listeners.iter().map(|(&id, l)| (id, (l.memory, 0))).collect();
+    /// Whether a listener's connections buffer more bytes than its share of `capacity` allows: bytes of
+    /// incomplete requests, and of requests that wait behind another.
+    fn exceeds_memory_share(&self, id: ListenerId, capacity: usize) -> bool {
+        let mut buffered: BTreeMap<ListenerId, (Share, usize)> =
+            self.listeners.iter().map(|(&id, l)| (id, (l.memory_share, 0))).collect();
         for c in self.conns.values() {
-            held.entry(c.listener).or_default().1 += c.input.len() + c.ahead.len();
+            buffered.entry(c.listener).or_default().1 += c.input.len() + c.read_ahead.len();
         }
-        let at = held.keys().position(|&l| l == id).unwrap_or(usize::MAX);
-        exceeds_share(capacity, &held.into_values().collect::<Vec<_>>(), at)
+        let index = buffered.keys().position(|&l| l == id).unwrap_or(usize::MAX);
+        exceeds_share(capacity, &buffered.into_values().collect::<Vec<_>>(), index)
     }
 
-    /// Whether there is more to read.
+    /// Whether connections have input that the last round did not read.
     pub fn has_unread(&self) -> bool {
         !self.unread.is_empty()
     }
@@ -203,7 +233,7 @@
         }
     }
 
-    /// Ends all listening.
+    /// Closes the sockets of all listeners.
     pub fn stop_listening(&mut self, net: &Net) {
         for id in self.listeners.keys().copied().collect::<Vec<_>>() {
             self.close_listener(net, id);
@@ -211,146 +241,154 @@
     }
 
     /// Whether the listener of a connection has been closed.
-    fn left(&self, conn: &Conn) -> bool {
+    fn is_listener_closed(&self, conn: &Conn) -> bool {
         self.listeners.get(&conn.listener).is_none_or(|l| l.socket.is_none())
     }
 
-    /// Whether an answer is still to be written, or a request begun is still to come in. A new connection is owed
-    /// `linger` for its first request, and one that has had its last answer for its peer's end: a close that crosses
-    /// what the peer sends is a reset, which may cost it the answer.
-    pub fn owes(&self, now: Instant, linger: Duration) -> bool {
+    /// Whether a response is still to be written, or the rest of a request is still to be received. A new
+    /// connection is given `linger` for its first request. A connection after its last response is given the
+    /// same for its peer to close: a close that crosses bytes of the peer becomes a reset, which may destroy
+    /// the response.
+    pub fn has_outstanding_work(&self, now: Instant, linger: Duration) -> bool {
         self.conns.values().any(|c| {
-            let young = now.saturating_duration_since(c.since) < linger;
+            let is_recent = now.saturating_duration_since(c.since) < linger;
             match c.state {
-                State::Lingering => young || c.written < c.output.len(),
-                _ => !c.idle() || (young && !c.spoke),
+                ConnState::Lingering => is_recent || c.written < c.output.len(),
+                _ => !c.is_idle() || (is_recent && !c.had_request),
             }
         })
     }
 
-    /// Whether accepting rests anywhere.
-    pub fn rests(&self) -> bool {
-        self.listeners.values().any(|l| l.resume.is_some())
+    /// Whether accepting is paused at any listener.
+    pub fn is_accepting_paused(&self) -> bool {
+        self.listeners.values().any(|l| l.paused_until.is_some())
     }
 }
 
 impl Conn {
-    fn idle(&self) -> bool {
-        self.state == State::Reading && !self.has_input() && self.written == self.output.len()
+    /// Whether the connection is between requests, with nothing to process and nothing to write.
+    fn is_idle(&self) -> bool {
+        self.state == ConnState::Reading && !self.has_input() && self.written == self.output.len()
     }
 
-    /// Whether bytes were read that are not taken yet.
+    /// Whether bytes were read that are not processed yet.
     fn has_input(&self) -> bool {
-        !self.input.is_empty() || !self.ahead.is_empty()
+        !self.input.is_empty() || !self.read_ahead.is_empty()
     }
 
-    /// Moves what was read ahead to the input, until that holds more than `most`.
-    fn refill(&mut self, most: usize) {
-        let room = (most + 1).saturating_sub(self.input.len()).min(self.ahead.len());
-        self.input.extend(self.ahead.drain(..room));
-        if self.ahead.is_empty() {
-            self.ahead = VecDeque::new();
+    /// Moves bytes that were read ahead to the input, until the input holds more than `max_bytes`.
+    fn refill_input(&mut self, max_bytes: usize) {
+        let room = (max_bytes + 1).saturating_sub(self.input.len()).min(self.read_ahead.len());
+        self.input.extend(self.read_ahead.drain(..room));
+        if self.read_ahead.is_empty() {
+            self.read_ahead = VecDeque::new();
         }
     }
 
-    /// Forgets what was read and not taken.
-    fn drop_input(&mut self) {
-        (self.input, self.ahead) = (Vec::new(), VecDeque::new());
+    /// Discards what was read and not processed.
+    fn discard_input(&mut self) {
+        (self.input, self.read_ahead) = (Vec::new(), VecDeque::new());
     }
 }
 
 impl Proxy {
-    /// Takes every connection that waits, at every listener.
+    /// Accepts every queued connection at every listener.
     pub fn accept_all(&mut self) {
         for id in self.callers.listeners.keys().copied().collect::<Vec<_>>() {
             self.accept(id);
         }
     }
 
-    /// Takes every connection that waits. At the limit idle ones make room; while none is idle, the rest
-    /// wait in the kernel's queue: closing one there would lose a request that is taken already.
-    pub fn accept(&mut self, at: ListenerId) {
-        // So many connections in a row that are gone already are no chance: a rest, so that nothing spins.
-        const BROKEN_MOST: u32 = 64;
-        let mut broken = 0;
-        while let Some((l, (listener, _))) =
-            self.callers.listeners.get(&at).and_then(|l| l.socket.as_ref().map(|s| (l, s)))
+    /// Accepts every queued connection. At the limit idle connections are closed to make room; while none is
+    /// idle, new connections wait in the kernel's queue: closing one there would lose a request that
+    /// its client may already have sent.
+    pub fn accept(&mut self, listener_id: ListenerId) {
+        // More failed connections in a row than this are no coincidence: accepting pauses, so that the loop
+        // does not spin.
+        const MAX_FAILED_IN_A_ROW: u32 = 64;
+        let mut failed = 0;
+        while let Some((entry, (listener, _))) =
+            self.callers.listeners.get(&listener_id).and_then(|l| l.socket.as_ref().map(|s| (l, s)))
         {
-            let (listener, connections, callers) = (listener.clone(), l.connections, l.callers);
-            // The callers' own limit is one more than that, until the next one comes: nothing is closed for a
-            // connection that is not there.
-            while let Err(why) = self.budgets.callers.check(&[Some(callers)]) {
-                if !self.close_idle_caller_for(|c| c._caller.helps(callers, why)) {
-                    return self.rest_accepting(at, "no connection is idle");
+            let (listener, connection_holder, caller_holder) =
+                (listener.clone(), entry.connection_holder, entry.caller_holder);
+            // The budget of callers' connections is one larger than their limit, so that no connection is
+            // closed for a new one that has not arrived.
+            while let Err(why) = self.budgets.callers.check(&[Some(caller_holder)]) {
+                if !self.close_idle_caller_where(|c| c.caller_lease.helps(caller_holder, why)) {
+                    return self.pause_accepting(listener_id, "no connection is idle");
                 }
             }
-            if !self.has_room(connections) {
-                return self.rest_accepting(at, "no connection is idle");
+            if !self.make_room(connection_holder) {
+                return self.pause_accepting(listener_id, "no connection is idle");
             }
             let stream = match accept(&listener) {
-                Accepted::Stream(stream) => stream,
-                Accepted::Failed(AcceptFailure::Empty, _) => return,
-                Accepted::Failed(AcceptFailure::Connection, _) if broken < BROKEN_MOST => {
-                    broken += 1;
+                AcceptResult::Stream(stream) => stream,
+                AcceptResult::Failed(AcceptFailure::Empty, _) => return,
+                AcceptResult::Failed(AcceptFailure::Connection, _) if failed < MAX_FAILED_IN_A_ROW => {
+                    failed += 1;
                     continue;
                 }
-                Accepted::Failed(AcceptFailure::Shortage, e) => {
+                AcceptResult::Failed(AcceptFailure::Shortage, e) => {
                     self.upstreams.close_oldest_idle(&self.net, |_| true);
-                    self.close_idle_caller_for(|_| true);
-                    return self.rest_accepting(at, &e.to_string());
+                    self.close_idle_caller_where(|_| true);
+                    return self.pause_accepting(listener_id, &e.to_string());
                 }
-                Accepted::Failed(_, e) => return self.rest_accepting(at, &e.to_string()),
+                AcceptResult::Failed(_, e) => return self.pause_accepting(listener_id, &e.to_string()),
             };
             let leases = (
-                self.budgets.connections.take(&[Some(connections)]),
-                self.budgets.callers.take(&[Some(callers)]),
+                self.budgets.connections.take(&[Some(connection_holder)]),
+                self.budgets.callers.take(&[Some(caller_holder)]),
             );
-            let (Ok(lease), Ok(caller)) = leases else { continue };
-            let id = self.net.number();
+            let (Ok(connection_lease), Ok(caller_lease)) = leases else { continue };
+            let id = self.net.next_connection_id();
             let stream =
                 stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).map(|()| stream);
             let ready = move |proxy: &mut Proxy, _| proxy.caller_ready(id);
             let socket = match stream.and_then(|s| self.net.watch(s, ready)) {
                 Ok(socket) => socket,
                 Err(e) => {
-                    warn!(self.net.log, "a caller's connection could not be served"; "error" => %e);
+                    warn!(self.net.log, "a caller's connection could not be set up and is closed";
+                        "error" => %e);
                     continue;
                 }
             };
             let conn = Conn {
-                listener: at,
-                lease,
-                _caller: caller,
+                listener: listener_id,
+                connection_lease,
+                caller_lease,
                 socket,
-                state: State::Reading,
+                state: ConnState::Reading,
                 input: Vec::new(),
-                ahead: VecDeque::new(),
+                read_ahead: VecDeque::new(),
                 output: Vec::new(),
                 written: 0,
-                close: false,
-                continued: false,
-                spoke: false,
+                close_after_response: false,
+                sent_continue: false,
+                had_request: false,
                 since: Instant::now(),
             };
             self.callers.conns.insert(id, conn);
         }
     }
 
-    fn rest_accepting(&mut self, at: ListenerId, why: &str) {
+    /// Stops accepting at a listener for `accept_pause`: the new connections stay in the kernel's queue.
+    fn pause_accepting(&mut self, id: ListenerId, why: &str) {
         let callers = self.callers.conns.len();
-        let Some(listener) = self.callers.listeners.get_mut(&at) else { return };
+        let Some(listener) = self.callers.listeners.get_mut(&id) else { return };
         if let Some((_, token)) = &listener.socket {
-            warn!(self.net.log, "accepting rests"; "why" => why, "callers" => callers, "listener" => &listener.name);
+            warn!(self.net.log, "accepting rests";
+                "why" => why, "callers" => callers, "listener" => &listener.name);
             let _ = self.net.handle.disable(token);
-            listener.resume = Some(Instant::now() + self.net.limits.accept_pause);
+            listener.paused_until = Some(Instant::now() + self.net.limits.accept_pause);
         }
     }
 
-    /// Goes on accepting after a rest.
+    /// Resumes accepting at the listeners whose pause is over.
     pub fn resume_accepting(&mut self, now: Instant) {
         for listener in self.callers.listeners.values_mut() {
-            if listener.resume.is_some_and(|at| at <= now) {
-                listener.resume = None;
+            if listener.paused_until.is_some_and(|at| at <= now) {
+                listener.paused_until = None;
                 if let Some((_, token)) = &listener.socket {
                     let _ = self.net.handle.enable(token);
                 }
@@ -358,20 +396,21 @@
         }
     }
 
-    /// Closes a listener that the newest version does not name.
-    pub fn leave_listener(&mut self, id: ListenerId) {
-        // What the kernel has accepted is taken already.
+    /// Closes a listener that the newest version of the configuration does not name.
+    pub fn retire_listener(&mut self, id: ListenerId) {
+        // A connection in the kernel's queue counts as accepted: its client may already have sent a request.
         self.accept(id);
         self.callers.close_listener(&self.net, id);
     }
 
-    /// Ends what the listeners that were closed have left, once it is between requests.
-    pub fn end_left_listeners(&mut self) {
+    /// Closes the connections of closed listeners once they are between requests, and removes the listeners
+    /// that have no connection left.
+    pub fn remove_closed_listeners(&mut self) {
         let closed = |l: &Listener| l.socket.is_none();
         if self.shutdown.closing() || !self.callers.listeners.values().any(closed) {
             return;
         }
-        self.end_idle_callers(Instant::now(), false);
+        self.close_idle_callers(Instant::now(), false);
         let used: BTreeSet<ListenerId> = self.callers.conns.values().map(|c| c.listener).collect();
         let done: Vec<ListenerId> = self
             .callers
@@ -381,137 +420,149 @@
             .map(|(&id, _)| id)
             .collect();
         for id in done {
-            if let Some(l) = self.callers.listeners.remove(&id) {
-                self.budgets.connections.leave(l.connections);
-                self.budgets.callers.leave(l.callers);
-                self.budgets.requests.leave(l.requests);
+            if let Some(listener) = self.callers.listeners.remove(&id) {
+                self.budgets.connections.leave(listener.connection_holder);
+                self.budgets.callers.leave(listener.caller_holder);
+                self.budgets.requests.leave(listener.request_holder);
             }
         }
     }
 
+    /// Handles a connection that may be readable or writable: writes pending output, reads input and
+    /// processes the requests in it.
     fn caller_ready(&mut self, id: ConnId) {
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
         if flush(conn).is_err() {
             return self.caller_left(id);
         }
-        // One request and its head at a time; what lies beyond stays in the socket.
+        // Input is limited to about one request; what follows stays in the socket.
         let limits = &self.net.limits;
         let (read_bytes, caller_bytes, discard) =
             (limits.read_chunk_bytes, limits.max_callers_buffered_bytes, limits.caller_discard_bytes);
-        let most = if conn.state == State::Reading { limits.max_request_bytes } else { read_bytes };
-        let (was_idle, listener) = (conn.idle(), conn.listener);
-        if conn.state == State::Lingering {
-            conn.ahead = VecDeque::new();
-        }
-        conn.refill(most);
-        // Bytes that were read ahead come before those in the socket.
-        let mut reading = match conn.ahead.is_empty() {
-            true => self.net.read(&conn.socket.stream, &mut conn.input, most),
-            false => Reading::Open,
+        let max_bytes = if conn.state == ConnState::Reading { limits.max_request_bytes } else { read_bytes };
+        let (was_idle, listener) = (conn.is_idle(), conn.listener);
+        if conn.state == ConnState::Lingering {
+            conn.read_ahead = VecDeque::new();
+        }
+        conn.refill_input(max_bytes);
+        // Bytes that were read ahead precede those in the socket.
+        let mut reading = match conn.read_ahead.is_empty() {
+            true => self.net.read(&conn.socket.stream, &mut conn.input, max_bytes),
+            false => ReadStatus::Open,
         };
         let mut discarded = 0;
-        while conn.state == State::Lingering && !conn.input.is_empty() {
+        while conn.state == ConnState::Lingering && !conn.input.is_empty() {
             discarded += conn.input.len();
             conn.input.clear();
             if discarded >= discard {
                 return self.callers.unread.push(id);
             }
-            reading = self.net.read(&conn.socket.stream, &mut conn.input, most);
+            reading = self.net.read(&conn.socket.stream, &mut conn.input, max_bytes);
         }
-        if was_idle && conn.spoke && !conn.input.is_empty() {
+        if was_idle && conn.had_request && !conn.input.is_empty() {
             conn.since = Instant::now();
         }
-        let (large, more) = (conn.input.len() > read_bytes, conn.input.len() > most);
+        let (large, more) = (conn.input.len() > read_bytes, conn.input.len() > max_bytes);
         match (reading, conn.state) {
-            (Reading::Open, State::Reading) => {
-                self.take_requests(id);
-                if large && self.callers.hold_too_much(listener, caller_bytes) {
-                    self.reject_unfinished(id);
+            (ReadStatus::Open, ConnState::Reading) => {
+                self.process_requests(id);
+                if large && self.callers.exceeds_memory_share(listener, caller_bytes) {
+                    self.reject_incomplete(id);
                 }
             }
-            (Reading::Open, _) => {}
-            // What came before the end may be a whole request, but nobody waits for its answer any more.
-            (Reading::Ended | Reading::Broken, _) => return self.caller_left(id),
+            (ReadStatus::Open, _) => {}
+            // The input may contain a complete request, but its client no longer waits for a response.
+            (ReadStatus::Ended | ReadStatus::Broken, _) => return self.caller_left(id),
         }
         if !more {
             return;
         }
-        // What still lies in the socket has told of itself, and does not do so again: neither do the bytes, if the
-        // requests before them have been answered, nor the end behind them, if one waits.
+        // The event loop is edge-triggered and does not report again what is still in the socket: neither
+        // more bytes, once the requests before them have their responses, nor a close behind them, while a
+        // request awaits its response.
         match self.callers.conns.get(&id) {
-            Some(c) if matches!(c.state, State::Waiting(_)) => self.look_for_the_end(id),
-            Some(c) if c.state == State::Reading && c.input.len() <= most => self.callers.unread.push(id),
+            Some(c) if matches!(c.state, ConnState::Waiting(_)) => self.detect_close(id),
+            Some(c) if c.state == ConnState::Reading && c.input.len() <= max_bytes => {
+                self.callers.unread.push(id)
+            }
             _ => {}
         }
     }
 
-    /// Finds out whether a client has closed its connection behind bytes that are not taken, as its request waits: the
-    /// kernel knows of no end that lies behind more than a socket holds, so bytes are read ahead.
-    fn look_for_the_end(&mut self, id: ConnId) {
+    /// Detects whether a client has closed its connection behind unprocessed bytes while its request awaits
+    /// the response. The kernel can't know of a close behind more bytes than its socket buffer holds, so
+    /// bytes are read ahead.
+    fn detect_close(&mut self, id: ConnId) {
         let Some(conn) = self.callers.conns.get(&id) else { return };
-        match peer(&conn.socket.stream) {
-            Peer::Quiet => {}
-            Peer::Closed => self.caller_left(id),
-            Peer::Unread if self.read_ahead(id) == Reading::Open => {}
-            Peer::Unread => self.caller_left(id),
+        match peer_state(&conn.socket.stream) {
+            PeerState::Open => {}
+            PeerState::Closed => self.caller_left(id),
+            PeerState::Unread if self.read_ahead(id) == ReadStatus::Open => {}
+            PeerState::Unread => self.caller_left(id),
         }
     }
 
-    /// Reads what lies behind the input, as far as the limits allow.
-    fn read_ahead(&mut self, id: ConnId) -> Reading {
-        let (most, together) =
+    /// Reads bytes that follow the input into `read_ahead`, as far as the limits allow.
+    fn read_ahead(&mut self, id: ConnId) -> ReadStatus {
+        let (max_ahead_bytes, max_total_bytes) =
             (self.net.limits.max_caller_read_ahead_bytes, self.net.limits.max_callers_buffered_bytes);
-        let Some(conn) = self.callers.conns.get(&id) else { return Reading::Open };
-        let room = most.saturating_sub(conn.ahead.len());
-        if room == 0 || self.callers.hold_too_much(conn.listener, together) {
-            return Reading::Open;
+        let Some(conn) = self.callers.conns.get(&id) else { return ReadStatus::Open };
+        let room = max_ahead_bytes.saturating_sub(conn.read_ahead.len());
+        if room == 0 || self.callers.exceeds_memory_share(conn.listener, max_total_bytes) {
+            return ReadStatus::Open;
         }
-        let Some(conn) = self.callers.conns.get_mut(&id) else { return Reading::Open };
+        let Some(conn) = self.callers.conns.get_mut(&id) else { return ReadStatus::Open };
         let mut bytes = Vec::new();
         let reading = self.net.read(&conn.socket.stream, &mut bytes, room);
-        conn.ahead.extend(bytes);
+        conn.read_ahead.extend(bytes);
         reading
     }
 
-    /// Goes on with what could not be read or thrown away in one turn.
+    /// Continues with the connections whose input could not be read or discarded in one round.
     pub fn resume_reading(&mut self) {
         for id in std::mem::take(&mut self.callers.unread) {
             self.caller_ready(id);
         }
     }
 
-    /// All callers together hold too much: this one, which holds much, gives it up, if it is not whole.
-    fn reject_unfinished(&mut self, id: ConnId) {
-        // What lies ahead may make it whole.
-        let unfinished = |c: &Conn| c.state == State::Reading && !c.input.is_empty() && c.ahead.is_empty();
-        if self.callers.conns.get(&id).is_some_and(unfinished) {
+    /// Rejects the incomplete request of a connection that buffers much, because the listener's connections
+    /// buffer too much together.
+    fn reject_incomplete(&mut self, id: ConnId) {
+        // Bytes that were read ahead may complete the request.
+        let incomplete =
+            |c: &Conn| c.state == ConnState::Reading && !c.input.is_empty() && c.read_ahead.is_empty();
+        if self.callers.conns.get(&id).is_some_and(incomplete) {
             self.reject_caller(id, HttpError(413));
         }
     }
 
-    /// Ends a connection whose peer has ended its sending; whether it has.
-    pub fn end_if_hung_up(&mut self, id: ConnId) -> bool {
-        let gone = self.callers.conns.get(&id).is_some_and(|c| peer(&c.socket.stream) == Peer::Closed);
-        if gone {
+    /// Closes a connection whose peer has ended its sending. Returns whether the peer has.
+    pub fn close_if_hung_up(&mut self, id: ConnId) -> bool {
+        let closed =
+            self.callers.conns.get(&id).is_some_and(|c| peer_state(&c.socket.stream) == PeerState::Closed);
+        if closed {
             self.caller_left(id);
         }
-        gone
+        closed
     }
 
+    /// Removes a connection that its client has closed, and abandons the request that awaits a response on
+    /// it.
     fn caller_left(&mut self, id: ConnId) {
         let Some(conn) = self.callers.conns.remove(&id) else { return };
-        debug!(self.net.log, "a client's connection closes"; "connection" => id, "reason" => %CloseReason::PeerLeft);
+        debug!(self.net.log, "a client's connection closes";
+            "connection" => id, "reason" => %CloseReason::PeerLeft);
         let state = conn.state;
         self.net.unwatch(conn.socket);
-        if let State::Waiting(request) = state {
-            self.client_gone(request);
+        if let ConnState::Waiting(request) = state {
+            self.client_left(request);
         }
     }
 
-    /// Takes the request that the input holds, if it is whole.
-    fn take_requests(&mut self, id: ConnId) {
+    /// Processes the requests in the input, as far as they are complete.
+    fn process_requests(&mut self, id: ConnId) {
         while let Some(conn) = self.callers.conns.get_mut(&id) {
-            if conn.state != State::Reading || conn.input.is_empty() {
+            if conn.state != ConnState::Reading || conn.input.is_empty() {
                 return;
             }
             match http::parse_request(&conn.input, &self.net.limits) {
@@ -519,7 +570,7 @@
                     return self.reject_caller(id, HttpError(413));
                 }
                 Ok(Incoming::Partial { expects_continue }) => {
-                    if expects_continue && !std::mem::replace(&mut conn.continued, true) {
+                    if expects_continue && !std::mem::replace(&mut conn.sent_continue, true) {
                         conn.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                         if flush(conn).is_err() {
                             self.caller_left(id);
@@ -530,81 +581,90 @@
                 Ok(Incoming::Complete(request, used)) => {
                     conn.input.drain(..used);
                     conn.input.shrink_to(self.net.limits.retained_buffer_bytes);
-                    (conn.continued, conn.spoke, conn.since) = (false, true, Instant::now());
-                    conn.close = !request.keep_alive;
+                    (conn.sent_continue, conn.had_request, conn.since) = (false, true, Instant::now());
+                    conn.close_after_response = !request.keep_alive;
                     if request.path() == "/ready" {
-                        let status = if self.ready() { 200 } else { 503 };
-                        self.write_answer(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
+                        let status = if self.is_ready() { 200 } else { 503 };
+                        self.write_response(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
                     } else {
                         let listener = conn.listener;
-                        match (self.take_request(id, listener, *request), self.callers.conns.get_mut(&id)) {
-                            (Ok(number), Some(conn)) => conn.state = State::Waiting(number),
-                            (Err(Unfit::Bad(bad)), _) => self.reject_caller(id, bad),
-                            (Err(Unfit::Refused { retry_after, .. }), _) => {
+                        match (self.accept_request(id, listener, *request), self.callers.conns.get_mut(&id)) {
+                            (Ok(number), Some(conn)) => conn.state = ConnState::Waiting(number),
+                            (Err(AdmissionError::Rejected(error)), _) => self.reject_caller(id, error),
+                            (Err(AdmissionError::Refused { retry_after, .. }), _) => {
                                 self.write_refusal(id, retry_after)
                             }
                             (Ok(_), None) => {}
                         }
                     }
                 }
-                Err(bad) => return self.reject_caller(id, bad),
+                Err(error) => return self.reject_caller(id, error),
             }
         }
     }
 
-    /// Answers what can't be taken, then closes: what follows it may be part of it.
+    /// Responds to an invalid request with its status, then closes the connection: the bytes after the
+    /// request may be part of it.
     fn reject_caller(&mut self, id: ConnId, HttpError(status): HttpError) {
-        debug!(self.net.log, "a request was not understood"; "status" => status);
+        debug!(self.net.log, "a request is rejected, and its connection closes"; "status" => status);
         if let Some(conn) = self.callers.conns.get_mut(&id) {
-            conn.close = true;
-            conn.drop_input();
+            conn.close_after_response = true;
+            conn.discard_input();
         }
-        self.write_answer(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
+        self.write_response(id, &OutgoingResponse { status, ..OutgoingResponse::default() });
     }
 
+    /// Responds with a 503 and, if `retry_after` is given, with the time after which the client may try
+    /// again.
     fn write_refusal(&mut self, id: ConnId, retry_after: Option<Duration>) {
-        // Other installations' clients read whole seconds, as the standard has it.
-        let advice = retry_after.map(|t| match self.version.is_some() {
+        // With an operator's file, clients expect whole seconds as RFC 9110 defines `Retry-After`; those of
+        // the platform's protocol read fractions.
+        let header = retry_after.map(|t| match self.active_config.is_some() {
             true => format!("Retry-After: {}\r\n", t.as_secs_f64().ceil().max(1.0)),
             false => format!("Retry-After: {:.3}\r\n", t.as_secs_f64()),
         });
-        let headers = advice.unwrap_or_default();
-        self.write_answer(
+        let headers = header.unwrap_or_default();
+        self.write_response(
             id,
             &OutgoingResponse { status: 503, headers: headers.as_bytes(), ..OutgoingResponse::default() },
         );
     }
 
-    /// Gives a request its final answer, and the connection's next request its turn.
-    pub fn answer_caller(&mut self, id: ConnId, answer: Final<'_>) {
-        match answer {
-            Final::Passed(a) => {
-                let (status, headers, body) = (a.status, &a.headers[..], &a.body[..]);
-                self.write_answer(
+    /// Sends a request its final response, and processes the connection's next request.
+    pub fn respond_to_caller(&mut self, id: ConnId, response: FinalResponse<'_>) {
+        match response {
+            FinalResponse::Forwarded(upstream) => {
+                let (status, headers, body) = (upstream.status, &upstream.headers[..], &upstream.body[..]);
+                self.write_response(
                     id,
-                    &OutgoingResponse { status, headers, body, length_without_body: a.length_without_body },
+                    &OutgoingResponse {
+                        status,
+                        headers,
+                        body,
+                        length_without_body: upstream.length_without_body,
+                    },
                 );
             }
-            Final::Failed => {
-                self.write_answer(id, &OutgoingResponse { status: 502, ..OutgoingResponse::default() })
+            FinalResponse::Failed => {
+                self.write_response(id, &OutgoingResponse { status: 502, ..OutgoingResponse::default() })
             }
-            Final::Refused { retry_after } => self.write_refusal(id, retry_after),
+            FinalResponse::Refused { retry_after } => self.write_refusal(id, retry_after),
         }
-        // It may have sent the next one meanwhile.
+        // The client may have sent its next request in the meantime.
         if self.callers.conns.get(&id).is_some_and(Conn::has_input) {
             self.caller_ready(id);
         }
     }
 
-    /// Writes an answer; then the connection closes, or takes its next request.
-    fn write_answer(&mut self, id: ConnId, answer: &OutgoingResponse<'_>) {
+    /// Writes a response; afterwards the connection closes or accepts its next request.
+    fn write_response(&mut self, id: ConnId, response: &OutgoingResponse<'_>) {
         let closing = self.shutdown.closing()
             || self.admin.draining()
-            || self.callers.conns.get(&id).is_some_and(|conn| self.callers.left(conn));
+            || self.callers.conns.get(&id).is_some_and(|conn| self.callers.is_listener_closed(conn));
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
-        conn.close |= closing;
-        http::write_response(&mut conn.output, answer, conn.close);
-        conn.state = if conn.close { State::Lingering } else { State::Reading };
+        conn.close_after_response |= closing;
+        http::write_response(&mut conn.output, response, conn.close_after_response);
+        conn.state = if conn.close_after_response { ConnState::Lingering } else { ConnState::Reading };
         conn.since = Instant::now();
         if flush(conn).is_err() {
             return self.caller_left(id);
@@ -614,84 +674,95 @@
         }
     }
 
-    /// Closes what has been idle, half sent or lingering for too long.
+    /// Closes the connections that have been idle or lingering for too long, and rejects requests that have
+    /// been incomplete for too long.
     pub fn sweep_callers(&mut self, now: Instant) {
         let limits = &self.net.limits;
-        let (mut slow, mut old) = (Vec::new(), Vec::new());
+        let (mut slow, mut expired) = (Vec::new(), Vec::new());
         for (&id, c) in &self.callers.conns {
             let age = now.saturating_duration_since(c.since);
             match c.state {
-                State::Waiting(_) => {}
-                State::Lingering if c.written < c.output.len() && age < limits.caller_request_timeout => {}
-                State::Lingering if age >= limits.caller_linger_timeout => old.push(id),
-                State::Reading if c.idle() => {
-                    let most =
-                        if c.spoke { limits.caller_idle_timeout } else { limits.caller_request_timeout };
-                    if age >= most {
-                        old.push(id);
+                ConnState::Waiting(_) => {}
+                ConnState::Lingering if c.written < c.output.len() && age < limits.caller_request_timeout => {
+                }
+                ConnState::Lingering if age >= limits.caller_linger_timeout => expired.push(id),
+                ConnState::Reading if c.is_idle() => {
+                    let max_age = if c.had_request {
+                        limits.caller_idle_timeout
+                    } else {
+                        limits.caller_request_timeout
+                    };
+                    if age >= max_age {
+                        expired.push(id);
                     }
                 }
-                State::Reading if age >= limits.caller_request_timeout => slow.push(id),
+                ConnState::Reading if age >= limits.caller_request_timeout => slow.push(id),
                 _ => {}
             }
         }
         for id in slow {
             self.reject_caller(id, HttpError(408));
         }
-        for id in old {
-            self.caller_ready(id); // its next request, or its end, may have come just now
+        for id in expired {
+            self.caller_ready(id); // its next request, or its close, may have arrived just now
             match self.callers.conns.get(&id) {
-                Some(c) if c.state == State::Lingering => {
+                Some(c) if c.state == ConnState::Lingering => {
                     self.callers.drop_conn(&self.net, id, CloseReason::Finished);
                 }
-                Some(c) if c.idle() => self.end_if_idle(id),
+                Some(c) if c.is_idle() => self.close_if_idle(id),
                 _ => {}
             }
         }
     }
 
-    /// Ends the connections between requests, `all` or those whose listener was closed; those that came up just now get time for their first one.
-    pub fn end_idle_callers(&mut self, now: Instant, all: bool) {
+    /// Closes the connections between requests: all of them, or without `all` those whose listener is closed.
+    /// Connections that were accepted less than `drain_linger` ago get time for their first request.
+    pub fn close_idle_callers(&mut self, now: Instant, all: bool) {
         let linger = self.net.limits.drain_linger;
         let callers = &self.callers;
-        let due = |c: &Conn| c.idle() && (c.spoke || now.saturating_duration_since(c.since) >= linger);
-        let idle = callers.conns.iter().filter(|(_, c)| due(c) && (all || callers.left(c)));
+        let due =
+            |c: &Conn| c.is_idle() && (c.had_request || now.saturating_duration_since(c.since) >= linger);
+        let idle = callers.conns.iter().filter(|(_, c)| due(c) && (all || callers.is_listener_closed(c)));
         for id in idle.map(|(&id, _)| id).collect::<Vec<_>>() {
-            self.end_if_idle(id);
+            self.close_if_idle(id);
         }
     }
 
-    /// Ends a connection between requests, unless its next one lies in the socket: that one is taken up. The sending
-    /// ends, and what still comes is thrown away until the peer ends, too: a close that crosses its bytes would be
-    /// a reset. A request among them was never taken, and its client tries again elsewhere.
-    fn end_if_idle(&mut self, id: ConnId) {
+    /// Closes a connection between requests, unless its next request is already in the socket: that request
+    /// is processed. To close it, the sending side is shut down, and what still arrives is discarded until
+    /// the peer closes as well: a close that crosses bytes of the peer would be a reset. A request among them
+    /// was never accepted, and its client tries again elsewhere.
+    fn close_if_idle(&mut self, id: ConnId) {
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
         if conn.socket.stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
             return self.caller_ready(id);
         }
-        (conn.close, conn.state, conn.since) = (true, State::Lingering, Instant::now());
+        (conn.close_after_response, conn.state, conn.since) = (true, ConnState::Lingering, Instant::now());
         if conn.socket.stream.shutdown(Shutdown::Write).is_err() {
             return self.callers.drop_conn(&self.net, id, CloseReason::PeerLeft);
         }
-        debug!(self.net.log, "a client's connection ends between requests"; "connection" => id, "reason" => %CloseReason::Idle);
+        debug!(self.net.log, "a client's connection is closed between requests";
+            "connection" => id, "reason" => %CloseReason::Idle);
         self.caller_ready(id);
     }
 
-    /// Closes the connection that is missed least: one that has had its last answer, else the one that has been
-    /// between requests for longest. One whose next request lies in the socket is not between requests: that request
-    /// is taken, and closing would lose it.
-    fn close_idle_caller_for(&mut self, fits: impl Fn(&Conn) -> bool) -> bool {
-        let done = |c: &Conn| c.state == State::Lingering && c.written == c.output.len();
-        let done = self.callers.conns.iter().filter(|(_, c)| done(c) && fits(c)).min_by_key(|(_, c)| c.since);
-        if let Some(id) = done.map(|(&id, _)| id) {
+    /// Closes the connection whose loss matters least, among those that `fits` selects: one that has had its
+    /// last response, else the one that has been between requests for longest. A connection whose next
+    /// request is already in the socket is not between requests: closing it would lose that request. Returns
+    /// whether one was closed.
+    fn close_idle_caller_where(&mut self, fits: impl Fn(&Conn) -> bool) -> bool {
+        let finished = |c: &Conn| c.state == ConnState::Lingering && c.written == c.output.len();
+        let oldest =
+            self.callers.conns.iter().filter(|(_, c)| finished(c) && fits(c)).min_by_key(|(_, c)| c.since);
+        if let Some(id) = oldest.map(|(&id, _)| id) {
             self.callers.drop_conn(&self.net, id, CloseReason::Displaced);
             return true;
         }
-        // Only those that are not about to ask.
-        let fresh = Instant::now().checked_sub(self.net.limits.caller_min_age_to_evict);
-        while let Some(id) = self.callers.oldest_idle(fresh, &fits) {
-            self.end_if_idle(id);
-            if self.callers.conns.get(&id).is_some_and(|c| c.state == State::Lingering) {
+        // A connection that was just accepted is about to send its first request.
+        let accepted_by = Instant::now().checked_sub(self.net.limits.caller_min_age_to_evict);
+        while let Some(id) = self.callers.least_needed_idle(accepted_by, &fits) {
+            self.close_if_idle(id);
+            if self.callers.conns.get(&id).is_some_and(|c| c.state == ConnState::Lingering) {
                 self.callers.drop_conn(&self.net, id, CloseReason::Displaced);
             }
             if !self.callers.conns.contains_key(&id) {
@@ -701,67 +772,68 @@
         false
     }
 
-    /// Closes one whose place helps a holder that was refused one.
-    pub fn close_idle_caller_helping(&mut self, holder: HolderId, why: Refusal) -> bool {
-        self.close_idle_caller_for(|c| c.lease.helps(holder, why))
+    /// Closes an idle connection whose unit of the budget lets a refused holder have one.
+    pub fn close_idle_caller_admitting(&mut self, holder: HolderId, why: Refusal) -> bool {
+        self.close_idle_caller_where(|c| c.connection_lease.helps(holder, why))
     }
 }
 
-/// What the kernel knows of a peer.
+/// What the kernel knows about a peer's sending side.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Peer {
-    /// It may send more, and nothing of it is unread.
-    Quiet,
-    /// It may send more, and bytes of it are unread.
+enum PeerState {
+    /// The peer may send more, and no bytes are unread.
+    Open,
+    /// The peer may send more, and bytes are unread.
     Unread,
-    /// It has ended its sending, also where unread bytes lie before that end.
+    /// The peer has ended its sending, possibly after bytes that are unread.
     Closed,
 }
 
-fn peer(stream: &TcpStream) -> Peer {
+fn peer_state(stream: &TcpStream) -> PeerState {
     match stream.peek(&mut [0]) {
-        Ok(0) => Peer::Closed,
-        Ok(_) if hung_up_behind_bytes(stream) => Peer::Closed,
-        Ok(_) => Peer::Unread,
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Peer::Quiet,
-        Err(_) => Peer::Closed,
+        Ok(0) => PeerState::Closed,
+        Ok(_) if is_closed_after_unread_bytes(stream) => PeerState::Closed,
+        Ok(_) => PeerState::Unread,
+        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => PeerState::Open,
+        Err(_) => PeerState::Closed,
     }
 }
 
-/// Whether the peer has ended its sending behind unread bytes.
-fn hung_up_behind_bytes(stream: &TcpStream) -> bool {
+/// Whether the peer has ended its sending after bytes that are unread.
+fn is_closed_after_unread_bytes(stream: &TcpStream) -> bool {
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
-    let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     loop {
         match poll(&mut polled, Some(&Timespec::default())) {
             Err(Errno::INTR) => {}
-            answered => return matches!(answered, Ok(1..)) && polled[0].revents().intersects(gone),
+            result => return matches!(result, Ok(1..)) && polled[0].revents().intersects(hang_up),
         }
     }
 }
 
-/// What one accept brought.
-pub enum Accepted {
+/// The result of one `accept`.
+pub enum AcceptResult {
+    /// The connection that was accepted.
     Stream(TcpStream),
-    /// No connection, for this reason.
+    /// There is no connection, for this reason.
     Failed(AcceptFailure, io::Error),
 }
 
-/// Takes one connection off a listener's queue.
-pub fn accept(listener: &TcpListener) -> Accepted {
+/// Accepts one connection from a listener's queue.
+pub fn accept(listener: &TcpListener) -> AcceptResult {
     match listener.accept() {
-        Ok((stream, _)) => Accepted::Stream(stream),
-        Err(e) => Accepted::Failed(accept_failure(&e), e),
+        Ok((stream, _)) => AcceptResult::Stream(stream),
+        Err(e) => AcceptResult::Failed(accept_failure(&e), e),
     }
 }
 
-/// Writes what is to be written; the end of the last answer ends the sending.
+/// Writes pending output. After the last response the sending side is shut down.
 fn flush(conn: &mut Conn) -> io::Result<()> {
-    crate::write(&conn.socket.stream, &conn.output, &mut conn.written)?;
+    crate::write_pending(&conn.socket.stream, &conn.output, &mut conn.written)?;
     if conn.written == conn.output.len() && conn.written > 0 {
         conn.output.clear();
         conn.written = 0;
-        if conn.state == State::Lingering {
+        if conn.state == ConnState::Lingering {
             conn.socket.stream.shutdown(Shutdown::Write)?;
         }
     }
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::pools::PoolId;
 use crate::socket_errors::is_local_shortage;
 use crate::source::Source;
-use crate::{Proxy, Reading, Watched};
+use crate::{Proxy, ReadStatus, WatchedStream};
 use garnettally_config::platform::drain_host_lists;
 use garnettally_decisions::facade::{CallFailure, Report};
 use garnettally_model::HostList;
@@ -16,7 +16,7 @@
 struct Watch {
     number: u64,
     asked: Instant,
-    socket: Watched,
+    socket: WatchedStream,
     output: Vec<u8>,
     written: usize,
     input: Vec<u8>,
@@ -177,7 +177,7 @@
 
     /// Asks for changes from the version held on, unless a watch is there; then that one is told of.
     pub fn start_watch(&mut self, pool: PoolId) {
-        let number = self.net.number();
+        let number = self.net.next_connection_id();
         if let Some(unchanged) = self.discovery(pool).and_then(|d| d.watched()) {
             return self.tell_of_hosts(pool, unchanged);
         }
@@ -299,7 +299,7 @@
         let Some(watch) = self.discovery(pool).filter(&mine).and_then(|d| d.watch.as_mut()) else { return };
         if watch.written < watch.output.len() && writable {
             watch.deadline = answer_by;
-            if let Err(e) = crate::write(&watch.socket.stream, &watch.output, &mut watch.written) {
+            if let Err(e) = crate::write_pending(&watch.socket.stream, &watch.output, &mut watch.written) {
                 return self.connection_ended(pool, Ending::Broken, &e.to_string());
             }
         }
@@ -325,10 +325,12 @@
                 return self.answer_failed(pool, bad);
             }
             match reading {
-                Reading::Open if more => {}
-                Reading::Open => return,
-                Reading::Ended => return self.connection_ended(pool, Ending::Closed, "discovery ended it"),
-                Reading::Broken => {
+                ReadStatus::Open if more => {}
+                ReadStatus::Open => return,
+                ReadStatus::Ended => {
+                    return self.connection_ended(pool, Ending::Closed, "discovery ended it")
+                }
+                ReadStatus::Broken => {
                     return self.connection_ended(pool, Ending::Broken, "its connection broke")
                 }
             }
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -1,6 +1,7 @@
-//! The life of a request: taken from a caller, decided on by the module, tried, and answered once.
+//! The life cycle of a request: it is accepted from a caller, submitted to its pool's decision module,
+//! attempted, and given exactly one response.
 
-use crate::admission::{Admitted, Labels, RouteInForce, Unfit, RETURN_AFTER};
+use crate::admission::{ActiveRoute, AdmissionError, Admitted, Labels, RETRY_AFTER};
 use crate::callers::ListenerId;
 use crate::http::{HttpError, Request, Response};
 use crate::lease::Lease;
@@ -16,161 +17,180 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The one answer that every request gets.
-pub enum Final<'a> {
-    /// An upstream's: served, or turned away for what it is.
-    Passed(&'a Response),
-    /// Trying again is harmless.
+/// The final response to a request; every request gets exactly one.
+pub enum FinalResponse<'a> {
+    /// The response of an upstream, which served the request or rejected it as faulty.
+    Forwarded(&'a Response),
+    /// The request was refused (503), and trying again is harmless. `retry_after`: the client's advised wait.
     Refused { retry_after: Option<Duration> },
-    /// Nothing is promised.
+    /// The request failed (502); whether it had an effect is unknown.
     Failed,
 }
 
-/// One request that has been taken, in one pool. If it goes on to another pool, it gets a new number there.
+/// A request that has been accepted, in one pool. If it moves to another pool, it gets a new number there.
 struct Exchange {
-    /// Who waits for its answer; `None`: nobody, it is a copy.
+    /// The connection that awaits the response; `None`: the request is a mirrored copy.
     caller: Option<ConnId>,
+    /// The caller's identifier of the request.
     id: String,
     pool: PoolId,
-    /// What the module is asked.
-    ask: PickRequest,
+    /// What the pool's decision module is asked.
+    pick_request: PickRequest,
     request: Rc<Request>,
-    /// Attempts so far, and those of them that are out.
-    sends: u32,
-    out: u32,
-    /// It has had its answer, or its client is gone.
-    over: bool,
-    /// An attempt has, or may have, run.
+    /// The number of attempts started in this pool.
+    attempts: u32,
+    /// The number of those attempts that have not ended.
+    in_flight: u32,
+    /// The request has had its response, or its client has left.
+    concluded: bool,
+    /// An attempt has run, or may have run, on an upstream.
     may_have_run: bool,
-    /// Once one may have run, for how long after it was sent another may be (unsafe classes: not at all), and when
-    /// that ends. `None`: for ever.
+    /// For how long after an attempt that may have run another may be sent: zero for unsafe classes; `None`:
+    /// without limit.
     repeat_within: Option<Duration>,
-    repeat_by: Option<Instant>,
-    /// Where it may go if this pool refuses it and nothing can have run.
-    others: Vec<PoolId>,
+    /// When that time ends; `None`: no attempt can have run yet, or there is no limit.
+    repeat_deadline: Option<Instant>,
+    /// The pools that may get the request, in order, if this pool refuses it and no attempt can have run.
+    fallback_pools: Vec<PoolId>,
+    /// The hash of the idempotency key and the key's window, if a repeat must not go to another pool.
     pin: Option<(u64, Micros)>,
+    /// The number of the pin's last recorded attempt.
     pin_number: u64,
-    /// Its place in the limits.
+    /// The request's unit of the request budgets, or the copy's unit of the budget for copies.
     lease: Lease,
+    /// The listener that accepted the request; `None` for a copy.
     listener: Option<ListenerId>,
-    route: Option<Rc<RouteInForce>>,
+    /// The route of the operator's file; `None` for a copy and with the platform's protocol.
+    route: Option<Rc<ActiveRoute>>,
+    /// The names of class and tenant for the log; `None`: requests are not logged.
     labels: Option<Labels>,
+    /// The class's name for the metrics.
     class_name: Rc<str>,
-    taken: Instant,
-    /// Attempts in the pools before.
-    sends_before: u32,
+    accepted_at: Instant,
+    /// The number of attempts in the pools that had the request before.
+    earlier_attempts: u32,
 }
 
-/// What the module is to hear of at its next turn.
-pub enum News {
-    Asked(PickRequest),
-    Known(Report),
+/// An input that is queued for a pool's decision module until its next run.
+pub enum ModuleInput {
+    /// A request that needs an upstream.
+    Pick(PickRequest),
+    /// A report of something that has happened.
+    Report(Report),
 }
 
-/// The requests.
+/// The requests that are not finished.
 #[derive(Default)]
 pub struct Exchanges {
+    /// The requests that await a response or still have attempts in flight.
     open: FxHashMap<RequestId, Exchange>,
-    /// The ids of those that wait for their answer.
-    ids: FxHashSet<String>,
-    next: u64,
+    /// The callers' identifiers of the requests that await a response; mirrored copies are left out.
+    pending_ids: FxHashSet<String>,
+    /// The number given to the newest request.
+    last_number: u64,
 }
 
 impl Exchanges {
-    /// Whether a request still waits for its answer.
-    pub fn owes(&self) -> bool {
-        !self.ids.is_empty()
+    /// Whether any request awaits its response.
+    pub fn has_pending(&self) -> bool {
+        !self.pending_ids.is_empty()
     }
 
-    /// Requests taken whose answer is still owed.
+    /// The number of accepted requests that await their response.
     pub fn pending(&self) -> usize {
-        self.ids.len()
+        self.pending_ids.len()
     }
 
-    fn number(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next)
+    /// Returns the number for a new request.
+    fn next_request_id(&mut self) -> RequestId {
+        self.last_number += 1;
+        RequestId(self.last_number)
     }
 
-    /// The caller who waits for this request's answer, which is due or needed no more; `None`: nobody does.
+    /// Marks a request as concluded: its response is determined or no longer needed. Returns the connection
+    /// that awaits the response, if there is one.
     fn conclude(&mut self, number: RequestId) -> Option<ConnId> {
-        let x = self.open.get_mut(&number).filter(|x| !x.over)?;
-        x.over = true;
-        if x.caller.is_some() {
-            self.ids.remove(&x.id);
+        let exchange = self.open.get_mut(&number).filter(|x| !x.concluded)?;
+        exchange.concluded = true;
+        if exchange.caller.is_some() {
+            self.pending_ids.remove(&exchange.id);
         }
-        x.caller
+        exchange.caller
     }
 }
 
 impl Proxy {
-    /// Whether a request could be served.
-    pub fn ready(&self) -> bool {
+    /// Whether this process can serve requests: a pool is ready, and the process is not draining.
+    pub fn is_ready(&self) -> bool {
         let now = self.net.clock.unix_time(Instant::now());
-        let is_ready = |p: &Pool| p.ready && !p.leaving && p.is_started(now);
-        self.pools.iter().any(is_ready) && !self.shutdown.closing() && !self.admin.draining()
+        let is_pool_ready = |p: &Pool| p.ready && !p.leaving && p.is_started(now);
+        self.pools.iter().any(is_pool_ready) && !self.shutdown.closing() && !self.admin.draining()
     }
 
-    /// Takes a request, or says why it can't be taken.
-    pub fn take_request(
+    /// Accepts a request, or returns why it can't be accepted.
+    pub fn accept_request(
         &mut self,
         caller: ConnId,
         listener: ListenerId,
         mut request: Request,
-    ) -> Result<RequestId, Unfit> {
+    ) -> Result<RequestId, AdmissionError> {
         let now = Instant::now();
-        match self.place(listener, &mut request, now) {
-            Ok((a, lease)) => Ok(self.enter(a, lease, caller, listener, request, now)),
-            Err(unfit) => {
-                if let Unfit::Refused { route: Some(r), .. } = &unfit {
-                    if let Some(class) = self.version.as_ref().map(|v| v.class(r.route.class).to_string()) {
+        match self.admit_within_limits(listener, &mut request, now) {
+            Ok((admitted, lease)) => Ok(self.start_request(admitted, lease, caller, listener, request, now)),
+            Err(error) => {
+                if let AdmissionError::Refused { route: Some(r), .. } = &error {
+                    let class = self.active_config.as_ref().map(|v| v.class(r.route.class).to_string());
+                    if let Some(class) = class {
                         self.stats.record_outcome(&class, Outcome::Rejected);
                     }
                 }
-                self.log_unfit(listener, &request, &unfit);
-                Err(unfit)
+                self.log_not_admitted(listener, &request, &error);
+                Err(error)
             }
         }
     }
 
-    /// Where a request goes, and its place in the limits.
-    fn place(
+    /// Finds the pool of a request and takes its unit of the request budgets.
+    fn admit_within_limits(
         &mut self,
         listener: ListenerId,
         request: &mut Request,
         now: Instant,
-    ) -> Result<(Admitted, Lease), Unfit> {
-        let a = self.admit(request, now)?;
-        if self.exchanges.ids.contains(&a.id) {
-            return Err(Unfit::Bad(HttpError(400)));
+    ) -> Result<(Admitted, Lease), AdmissionError> {
+        let admitted = self.admit(request, now)?;
+        if self.exchanges.pending_ids.contains(&admitted.id) {
+            return Err(AdmissionError::Rejected(HttpError(400)));
         }
-        let holders = self.holders(a.pool, a.route.as_deref(), self.callers.request_holder(listener));
+        let holders =
+            self.holders(admitted.pool, admitted.route.as_deref(), self.callers.request_holder(listener));
         match self.budgets.requests.take(&holders) {
-            Ok(lease) => Ok((a, lease)),
-            Err(_) => Err(Unfit::Refused { retry_after: Some(RETURN_AFTER), route: a.route }),
+            Ok(lease) => Ok((admitted, lease)),
+            Err(_) => Err(AdmissionError::Refused { retry_after: Some(RETRY_AFTER), route: admitted.route }),
         }
     }
 
-    fn enter(
+    /// Starts an admitted request, and its mirrored copy if its route asks for one.
+    fn start_request(
         &mut self,
-        a: Admitted,
+        admitted: Admitted,
         lease: Lease,
         caller: ConnId,
         listener: ListenerId,
         request: Request,
         now: Instant,
     ) -> RequestId {
-        self.exchanges.ids.insert(a.id.clone());
+        self.exchanges.pending_ids.insert(admitted.id.clone());
         let request = Rc::new(request);
-        if let Some(shadow) = a.mirror {
-            self.mirror(shadow, &a, &request, now);
+        if let Some(shadow) = admitted.mirror {
+            self.start_mirror_copy(shadow, &admitted, &request, now);
         }
-        self.begin(a, Some(caller), Some(listener), request, lease, now)
+        self.start_exchange(admitted, Some(caller), Some(listener), request, lease, now)
     }
 
-    fn begin(
+    /// Creates the exchange of a request or of a mirrored copy, and submits it to its pool.
+    fn start_exchange(
         &mut self,
-        a: Admitted,
+        admitted: Admitted,
         caller: Option<ConnId>,
         listener: Option<ListenerId>,
         request: Rc<Request>,
@@ -178,121 +198,133 @@
         now: Instant,
     ) -> RequestId {
         let micros = |d: Duration| Micros(d.as_micros() as i64);
-        let expires = self.net.clock.unix_time(now) + micros(a.deadline);
-        let number = self.exchanges.number();
-        let ask = PickRequest {
+        let expires = self.net.clock.unix_time(now) + micros(admitted.deadline);
+        let number = self.exchanges.next_request_id();
+        let pick_request = PickRequest {
             request: number,
-            class: a.class,
-            tenant: a.tenant,
+            class: admitted.class,
+            tenant: admitted.tenant,
             expires: self
                 .shutdown
                 .answer_by()
                 .map_or(expires, |by| expires.min(self.net.clock.unix_time(by))),
-            cost: a.cost.map(micros).filter(|c| c.0 > 0),
-            repeat: a.repeat,
-            key: a.subject,
+            cost: admitted.cost.map(micros).filter(|c| c.0 > 0),
+            repeat: admitted.repeat,
+            key: admitted.subject,
         };
         let exchange = Exchange {
             caller,
-            id: a.id,
-            pool: a.pool,
-            ask,
+            id: admitted.id,
+            pool: admitted.pool,
+            pick_request,
             request,
-            sends: 0,
-            out: 0,
-            over: false,
+            attempts: 0,
+            in_flight: 0,
+            concluded: false,
             may_have_run: false,
-            repeat_within: a.repeat_within,
-            repeat_by: None,
-            others: a.others,
-            pin: a.pin,
+            repeat_within: admitted.repeat_within,
+            repeat_deadline: None,
+            fallback_pools: admitted.fallback_pools,
+            pin: admitted.pin,
             pin_number: 0,
             lease,
             listener,
-            route: a.route,
-            labels: a.labels,
-            class_name: a.class_name,
-            taken: now,
-            sends_before: 0,
+            route: admitted.route,
+            labels: admitted.labels,
+            class_name: admitted.class_name,
+            accepted_at: now,
+            earlier_attempts: 0,
         };
-        self.enter_pool(number, exchange, now);
+        self.submit_to_pool(number, exchange, now);
         number
     }
 
-    /// Has a pool's module asked about a request.
-    fn enter_pool(&mut self, number: RequestId, mut exchange: Exchange, now: Instant) {
-        exchange.ask.request = number;
+    /// Submits a request to its pool: the pool's decision module gets it at its next run.
+    fn submit_to_pool(&mut self, number: RequestId, mut exchange: Exchange, now: Instant) {
+        exchange.pick_request.request = number;
         if let Some(pool) = self.pools.get_mut(exchange.pool) {
             pool.open += 1;
-            pool.add(News::Asked(exchange.ask), now);
+            pool.add(ModuleInput::Pick(exchange.pick_request), now);
         }
         self.exchanges.open.insert(number, exchange);
     }
 
-    /// Sends a copy to a shadow pool, if there is room: it takes no part in the limits of what it copies.
-    fn mirror(&mut self, shadow: PoolId, a: &Admitted, request: &Rc<Request>, now: Instant) {
+    /// Sends a mirrored copy to a shadow pool if the pool's budget for copies has room. The copy takes
+    /// nothing from the limits of the original request.
+    fn start_mirror_copy(
+        &mut self,
+        shadow: PoolId,
+        original: &Admitted,
+        request: &Rc<Request>,
+        now: Instant,
+    ) {
         let Some(pool) = self.pools.get(shadow) else { return };
         let Ok(lease) = self.budgets.copies.take(&[Some(pool.copies)]) else { return };
         let copy = Admitted {
-            id: a.id.clone(),
-            class: a.class,
-            tenant: a.tenant,
-            deadline: a.deadline,
-            cost: a.cost,
-            repeat: a.repeat,
-            subject: a.subject,
+            id: original.id.clone(),
+            class: original.class,
+            tenant: original.tenant,
+            deadline: original.deadline,
+            cost: original.cost,
+            repeat: original.repeat,
+            subject: original.subject,
             pool: shadow,
-            others: Vec::new(),
+            fallback_pools: Vec::new(),
             route: None,
             pin: None,
             mirror: None,
             labels: None,
-            class_name: a.class_name.clone(),
-            repeat_within: a.repeat_within,
+            class_name: original.class_name.clone(),
+            repeat_within: original.repeat_within,
         };
-        self.begin(copy, None, None, request.clone(), lease, now);
+        self.start_exchange(copy, None, None, request.clone(), lease, now);
     }
 
-    /// The client has closed its connection.
-    pub fn client_gone(&mut self, request: RequestId) {
+    /// Abandons a request whose client has closed its connection.
+    pub fn client_left(&mut self, request: RequestId) {
         if self.exchanges.conclude(request).is_some() {
             self.log_request(request, "gone", None, None, None);
-            self.drop_unwritten(request);
-            self.queue_for(request, Report::ClientLeft(request));
+            self.drop_unwritten_attempts(request);
+            self.queue_report(request, Report::ClientLeft(request));
         }
     }
 
-    /// A request is over: what waits for its connection, or is not written whole, goes out for nobody. The module
-    /// calls it off only where the settings allow that, and that is about what is out.
-    fn drop_unwritten(&mut self, request: RequestId) {
-        let sends = self.exchanges.open.get(&request).filter(|x| x.out > 0).map_or(0, |x| x.sends);
-        for attempt in 0..sends {
+    /// Drops the attempts of a concluded request that wait for their connection or are not written
+    /// completely: nobody awaits their response. Attempts that are written completely are the module's: it
+    /// cancels them only where the settings allow cancellation.
+    fn drop_unwritten_attempts(&mut self, request: RequestId) {
+        let attempts =
+            self.exchanges.open.get(&request).filter(|x| x.in_flight > 0).map_or(0, |x| x.attempts);
+        for attempt in 0..attempts {
             if let Some(ended) = self.upstreams.drop_unwritten(&self.net, (request, attempt)) {
                 self.attempt_ended(ended);
             }
         }
     }
 
-    /// Asks the kernel whether the client of a request has closed its connection, and ends the request if it has. After a
-    /// long turn, the close may lie behind other events that the loop has still to hand out.
+    /// Checks with the kernel whether the client of a request has closed its connection, and ends the request
+    /// if it has. After a long round, the event of the close may be queued behind others that the loop has
+    /// not dispatched.
     pub fn end_if_client_left(&mut self, request: RequestId) -> bool {
-        let waiting = self.exchanges.open.get(&request).filter(|x| !x.over);
+        let waiting = self.exchanges.open.get(&request).filter(|x| !x.concluded);
         let Some(caller) = waiting.and_then(|x| x.caller) else { return false };
-        self.end_if_hung_up(caller)
+        self.close_if_hung_up(caller)
     }
 
-    /// Whether an attempt may be written now: somebody waits for its answer, there is time, and the time in which its
-    /// class lets it be repeated has not ended.
+    /// Whether an attempt may be written now: its response is awaited, the request has not expired, and the
+    /// time within which its class allows a repeat has not ended.
     pub fn may_write(&self, attempt: Attempt) -> bool {
         let now = Instant::now();
-        let open = self.exchanges.open.get(&attempt.0).filter(|x| !x.over);
+        let open = self.exchanges.open.get(&attempt.0).filter(|x| !x.concluded);
         open.is_some_and(|x| {
-            x.ask.expires > self.net.clock.unix_time(now) && x.repeat_by.is_none_or(|by| now < by)
+            x.pick_request.expires > self.net.clock.unix_time(now)
+                && x.repeat_deadline.is_none_or(|deadline| now < deadline)
         })
     }
 
-    /// An upstream takes nothing new any more: what has not begun there goes elsewhere.
-    pub fn leave_upstream(&mut self, target: Target) {
+    /// Withdraws the attempts that have not begun at an upstream that accepts no new ones; the module sends
+    /// them elsewhere.
+    pub fn withdraw_unbegun_attempts(&mut self, target: Target) {
         for attempt in self.upstreams.unbegun(target) {
             if let Some(ended) = self.upstreams.drop_unwritten(&self.net, attempt) {
                 self.attempt_ended(ended);
@@ -300,43 +332,47 @@
         }
     }
 
-    fn queue_for(&mut self, request: RequestId, report: Report) {
+    /// Queues a report for the module of a request's pool.
+    fn queue_report(&mut self, request: RequestId, report: Report) {
         let pool = self.exchanges.open.get(&request).map(|x| x.pool);
         if let Some(pool) = pool.and_then(|id| self.pools.get_mut(id)) {
             pool.queue(report, Instant::now());
         }
     }
 
-    /// An attempt has ended: the first one served is the answer, at once, and so is the word that the request
-    /// itself is at fault. The rest is for the module.
+    /// Handles the end of an attempt. The first response that serves the request, or rejects it as faulty, is
+    /// forwarded to the caller at once; the decision module handles everything else.
     pub fn attempt_ended(&mut self, ended: Ended) {
         let (request, attempt) = ended.attempt;
-        let Some(x) = self.exchanges.open.get_mut(&request) else { return };
-        x.out -= 1;
+        let Some(exchange) = self.exchanges.open.get_mut(&request) else { return };
+        exchange.in_flight -= 1;
         let never_ran = matches!(ended.code, Code::Full | Code::ConnectFailed | Code::Moot);
-        x.may_have_run |= !never_ran;
-        if let Some(within) = x.repeat_within.filter(|_| !never_ran) {
-            let by = Instant::now() + within;
-            let by = by.checked_sub(ended.latency).unwrap_or(by);
-            x.repeat_by = Some(x.repeat_by.map_or(by, |before| before.min(by)));
+        exchange.may_have_run |= !never_ran;
+        if let Some(within) = exchange.repeat_within.filter(|_| !never_ran) {
+            let deadline = Instant::now() + within;
+            let deadline = deadline.checked_sub(ended.latency).unwrap_or(deadline);
+            exchange.repeat_deadline =
+                Some(exchange.repeat_deadline.map_or(deadline, |earlier| earlier.min(deadline)));
         }
-        let over = x.over;
-        if let Some((key, _)) = x.pin.filter(|_| never_ran) {
-            self.pins.attempt_never_ran(key, x.pin_number);
+        let concluded = exchange.concluded;
+        if let Some((key, _)) = exchange.pin.filter(|_| never_ran) {
+            self.pins.attempt_never_ran(key, exchange.pin_number);
         }
         if let Some(target) = ended.target {
             self.note_health(target, ended.code, Instant::now());
         }
-        let copy = self.exchanges.open.get(&request).is_some_and(|x| x.caller.is_none());
-        let passed = match ended.code {
+        let is_copy = self.exchanges.open.get(&request).is_some_and(|x| x.caller.is_none());
+        let awaiting_caller = match ended.code {
             Code::Ok | Code::Rejected => self.exchanges.conclude(request),
             _ => None,
         };
-        let answered = over || passed.is_some() || (copy && matches!(ended.code, Code::Ok | Code::Rejected));
+        let answered = concluded
+            || awaiting_caller.is_some()
+            || (is_copy && matches!(ended.code, Code::Ok | Code::Rejected));
         debug!(self.net.log, "ended"; "request" => request.0, "attempt" => attempt, "code" => ?ended.code,
             "upstream" => ended.target.map_or("", |t| self.upstream_name(t)),
             "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
-        let held = ended.answer.as_ref().and_then(|a| a.in_flight);
+        let upstream_in_flight = ended.answer.as_ref().and_then(|a| a.in_flight);
         let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
         let report = Report::Ended {
             request,
@@ -344,36 +380,39 @@
             code,
             latency,
             local_delay: held_up,
-            upstream_in_flight: held,
+            upstream_in_flight,
             answered,
         };
-        self.queue_for(request, report);
-        if passed.is_some() {
-            self.drop_unwritten(request);
+        self.queue_report(request, report);
+        if awaiting_caller.is_some() {
+            self.drop_unwritten_attempts(request);
         }
-        if let (Some(caller), Some(answer)) = (passed, ended.answer) {
-            if let Some(x) = self.exchanges.open.get(&request) {
-                self.stats.record_outcome(&x.class_name, Outcome::Completed);
+        if let (Some(caller), Some(response)) = (awaiting_caller, ended.answer) {
+            if let Some(exchange) = self.exchanges.open.get(&request) {
+                self.stats.record_outcome(&exchange.class_name, Outcome::Completed);
             }
             let outcome = if code == Code::Ok { "served" } else { "rejected" };
-            self.log_request(request, outcome, Some(answer.status), ended.target, None);
-            self.answer_caller(caller, Final::Passed(&answer));
+            self.log_request(request, outcome, Some(response.status), ended.target, None);
+            self.respond_to_caller(caller, FinalResponse::Forwarded(&response));
         }
     }
 
-    /// When a module is to be asked next: once in the resolution, if there is anything to tell it.
-    pub fn next_consultation(&self) -> Option<Instant> {
-        self.pools.iter().filter_map(|p| self.consultation(p.id)).min()
+    /// When the next decision module has to run. A module with queued inputs, or whose own timer is due, runs
+    /// at the next multiple of the resolution.
+    pub fn next_module_run(&self) -> Option<Instant> {
+        self.pools.iter().filter_map(|p| self.module_run_due(p.id)).min()
     }
 
-    fn consultation(&self, pool: PoolId) -> Option<Instant> {
+    /// When the decision module of a pool has to run; `None`: nothing is queued, and it has no timer.
+    fn module_run_due(&self, pool: PoolId) -> Option<Instant> {
         let pool = self.pools.get(pool)?;
         let due = pool.decisions.next_tick().map(|at| self.net.clock.instant(self.round_up(at)));
-        let news =
+        let queued =
             pool.first_news().map(|at| self.net.clock.instant(self.round_up(self.net.clock.unix_time(at))));
-        due.into_iter().chain(news).min()
+        due.into_iter().chain(queued).min()
     }
 
+    /// Rounds a time up to the next multiple of the resolution.
     fn round_up(&self, at: Micros) -> Micros {
         let step = self.net.limits.resolution.as_micros() as i64;
         if step == 0 {
@@ -382,55 +421,66 @@
         Micros((at.0 + step - 1).div_euclid(step) * step)
     }
 
-    /// Tells each module what has come in, then lets time pass there, and does what it decides.
-    pub fn consult(&mut self, at: Instant) {
+    /// Runs each decision module that is due: passes it the queued inputs, then the current time, and carries
+    /// out its decisions.
+    pub fn run_due_modules(&mut self, at: Instant) {
         for pool in self.pools.ids() {
-            if self.consultation(pool).is_some_and(|due| due <= at) {
-                self.consult_pool(pool, at);
+            if self.module_run_due(pool).is_some_and(|due| due <= at) {
+                self.run_module(pool, at);
             }
         }
     }
 
-    fn consult_pool(&mut self, id: PoolId, at: Instant) {
+    /// Runs the decision module of one pool.
+    fn run_module(&mut self, id: PoolId, at: Instant) {
         let now = self.net.clock.unix_time(at);
         let Some(pool) = self.pools.get_mut(id) else { return };
-        for news in pool.take_news() {
-            let ended = match &news {
-                News::Known(Report::Ended { request, .. } | Report::ClientLeft(request)) => Some(*request),
+        for input in pool.take_news() {
+            let ended = match &input {
+                ModuleInput::Report(Report::Ended { request, .. } | Report::ClientLeft(request)) => {
+                    Some(*request)
+                }
                 _ => None,
             };
-            let decisions = match news {
-                News::Asked(ask) => self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.pick(now, ask)),
-                News::Known(report) => self.tell(id, now, report),
+            let decisions = match input {
+                ModuleInput::Pick(pick_request) => {
+                    self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.pick(now, pick_request))
+                }
+                ModuleInput::Report(report) => self.tell(id, now, report),
             };
-            self.carry_out(id, decisions);
+            self.apply_decisions(id, decisions);
             if let Some(request) = ended {
-                self.forget(request);
+                self.remove_if_finished(request);
             }
         }
-        // Time last, as in the simulator: what came in by now may have made room for what waits.
+        // The time comes last, as in the simulator: inputs received by now may have made room for waiting
+        // requests.
         let tick = self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.tick(now));
-        self.carry_out(id, tick);
+        self.apply_decisions(id, tick);
         self.note_list_standing(id, now);
     }
 
-    fn forget(&mut self, request: RequestId) {
-        if self.exchanges.open.get(&request).is_some_and(|x| x.over && x.out == 0) {
-            if let Some(x) = self.exchanges.open.remove(&request) {
-                self.pool_let_go(x.pool);
+    /// Removes a request that is concluded and has no attempt in flight.
+    fn remove_if_finished(&mut self, request: RequestId) {
+        if self.exchanges.open.get(&request).is_some_and(|x| x.concluded && x.in_flight == 0) {
+            if let Some(exchange) = self.exchanges.open.remove(&request) {
+                self.pool_let_go(exchange.pool);
             }
         }
     }
 
-    fn carry_out(&mut self, pool: PoolId, decisions: Vec<Decision>) {
+    /// Carries out the decisions of a pool's module.
+    fn apply_decisions(&mut self, pool: PoolId, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Send { request, upstream, timeout } => {
-                    self.send(request, Target { pool, server: upstream }, timeout);
+                    self.send_request(request, Target { pool, server: upstream }, timeout);
                 }
                 Decision::Wait(_) => {}
-                Decision::Refuse { request, retry_after } => self.refused(request, retry_after),
-                Decision::Fail(request) => self.finish(request, Final::Failed),
+                Decision::Refuse { request, retry_after } => {
+                    self.try_next_pool_or_refuse(request, retry_after)
+                }
+                Decision::Fail(request) => self.conclude_with(request, FinalResponse::Failed),
                 Decision::Cancel { request, attempt } => {
                     if let Some(ended) = self.upstreams.cancel(&self.net, (request, attempt)) {
                         self.attempt_ended(ended);
@@ -442,120 +492,133 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, to: Target, timeout: Duration) {
-        let Some(x) = self.exchanges.open.get_mut(&request) else { return };
-        let attempt = (request, x.sends);
-        (x.sends, x.out) = (x.sends + 1, x.out + 1);
+    /// Starts an attempt of a request at an upstream, after the pin of its key, if it has one, is recorded.
+    fn send_request(&mut self, request: RequestId, to: Target, timeout: Duration) {
+        let Some(exchange) = self.exchanges.open.get_mut(&request) else { return };
+        let attempt = (request, exchange.attempts);
+        (exchange.attempts, exchange.in_flight) = (exchange.attempts + 1, exchange.in_flight + 1);
         let zero = Duration::ZERO;
         let unsent = |code| Ended { attempt, target: None, code, latency: zero, held_up: zero, answer: None };
-        if x.over {
+        if exchange.concluded {
             return self.attempt_ended_unpinned(unsent(Code::Moot));
         }
-        let (asked, pin, once) = (x.request.clone(), x.pin, x.repeat_within == Some(Duration::ZERO));
+        let (message, pin, at_most_once) =
+            (exchange.request.clone(), exchange.pin, exchange.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
             let now = self.net.clock.unix_time(Instant::now());
-            let several = x.route.as_ref().is_some_and(|r| r.route.pools.has_several());
+            let several = exchange.route.as_ref().is_some_and(|r| r.route.pools.has_several());
             let pinned = self.pins.record_attempt(now, key, to.pool, now + window);
-            if let (Ok(number), Some(x)) = (pinned, self.exchanges.open.get_mut(&request)) {
-                x.pin_number = number;
+            if let (Ok(number), Some(exchange)) = (pinned, self.exchanges.open.get_mut(&request)) {
+                exchange.pin_number = number;
             }
             if pinned.is_err() {
-                // No place to remember it by: where the key could go elsewhere it must not be sent.
+                // The pin can't be recorded: if the key could go to another pool, the request must not be
+                // sent.
                 if several {
                     return self.attempt_ended_unpinned(unsent(Code::ConnectFailed));
                 }
-                if let Some(x) = self.exchanges.open.get_mut(&request) {
-                    x.pin = None;
+                if let Some(exchange) = self.exchanges.open.get_mut(&request) {
+                    exchange.pin = None;
                 }
             }
         }
-        self.send_attempt(attempt, to, &asked, timeout, once);
+        self.send_attempt(attempt, to, &message, timeout, at_most_once);
     }
 
-    /// An attempt that the pins know nothing of has ended unsent.
+    /// Handles the end of an attempt that was not sent and is not recorded in the pins.
     fn attempt_ended_unpinned(&mut self, ended: Ended) {
         let request = ended.attempt.0;
         let pin = self.exchanges.open.get_mut(&request).and_then(|x| x.pin.take());
         self.attempt_ended(ended);
-        if let Some(x) = self.exchanges.open.get_mut(&request) {
-            x.pin = pin;
+        if let Some(exchange) = self.exchanges.open.get_mut(&request) {
+            exchange.pin = pin;
         }
     }
 
-    /// The module of one pool refuses a request. Where its route names other pools, its class's rules are kept, as
-    /// nothing can have run, and there is time, the next one is asked; each pool once.
-    fn refused(&mut self, request: RequestId, retry_after: Option<Duration>) {
+    /// Handles a request that the module of its pool refuses. If the route names further pools, no attempt
+    /// can have run (so that the class's repeat rules are kept), and the request has not expired, the next
+    /// pool gets it; each pool at most once. Otherwise the request is refused.
+    fn try_next_pool_or_refuse(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let now = Instant::now();
         let at = self.net.clock.unix_time(now);
-        let Some(x) = self.exchanges.open.get_mut(&request).filter(|x| !x.over) else { return };
-        let free = x.out == 0 && !x.may_have_run && x.ask.expires > at;
-        while let Some(next) = (!x.others.is_empty() && free).then(|| x.others.remove(0)) {
+        let Some(exchange) = self.exchanges.open.get_mut(&request).filter(|x| !x.concluded) else { return };
+        let may_move =
+            exchange.in_flight == 0 && !exchange.may_have_run && exchange.pick_request.expires > at;
+        while let Some(next) =
+            (!exchange.fallback_pools.is_empty() && may_move).then(|| exchange.fallback_pools.remove(0))
+        {
             let serves = self.pools.get(next).is_some_and(|p| p.serves());
-            let bound =
-                x.pin.and_then(|(key, _)| self.pins.get(at, key)).is_some_and(|(pool, _)| pool != next);
-            if !serves || bound {
+            let pinned_elsewhere = exchange
+                .pin
+                .and_then(|(key, _)| self.pins.get(at, key))
+                .is_some_and(|(pool, _)| pool != next);
+            if !serves || pinned_elsewhere {
                 continue;
             }
-            let of_listener = x.listener.and_then(|l| self.callers.request_holder(l));
-            let of_pool = self.pools.get(next).map(|p| p.requests);
-            let holders = [of_pool, x.route.as_ref().map(|r| r.holder), of_listener];
+            let listener_holder = exchange.listener.and_then(|l| self.callers.request_holder(l));
+            let pool_holder = self.pools.get(next).map(|p| p.requests);
+            let holders = [pool_holder, exchange.route.as_ref().map(|r| r.holder), listener_holder];
             let Ok(lease) = self.budgets.requests.take(&holders) else { continue };
-            let Some(mut x) = self.exchanges.open.remove(&request) else { return };
-            self.pool_let_go(x.pool);
-            x.lease = lease;
-            let (number, caller) = (self.exchanges.number(), x.caller);
-            x.pool = next;
-            (x.sends_before, x.sends) = (x.sends_before + x.sends, 0);
-            debug!(self.net.log, "the next pool is asked"; "request" => number.0, "pool" => self.pool_name(next));
+            let Some(mut exchange) = self.exchanges.open.remove(&request) else { return };
+            self.pool_let_go(exchange.pool);
+            exchange.lease = lease;
+            let (number, caller) = (self.exchanges.next_request_id(), exchange.caller);
+            exchange.pool = next;
+            (exchange.earlier_attempts, exchange.attempts) =
+                (exchange.earlier_attempts + exchange.attempts, 0);
+            debug!(self.net.log, "a refused request moves to the next pool of its route";
+                "request" => number.0, "pool" => self.pool_name(next));
             if let Some(caller) = caller {
-                self.callers.waits_for(caller, number);
+                self.callers.set_awaited_request(caller, number);
             }
-            return self.enter_pool(number, x, now);
+            return self.submit_to_pool(number, exchange, now);
         }
-        self.finish(request, Final::Refused { retry_after });
+        self.conclude_with(request, FinalResponse::Refused { retry_after });
     }
 
-    /// The module's final answer, if the request has had none.
-    fn finish(&mut self, request: RequestId, answer: Final<'_>) {
-        let Some(x) = self.exchanges.open.get(&request).filter(|x| !x.over) else { return };
-        let (copy, class) = (x.caller.is_none(), x.class_name.clone());
+    /// Gives a request the final response that its module has decided on, if the request has had none.
+    fn conclude_with(&mut self, request: RequestId, response: FinalResponse<'_>) {
+        let Some(exchange) = self.exchanges.open.get(&request).filter(|x| !x.concluded) else { return };
+        let (is_copy, class) = (exchange.caller.is_none(), exchange.class_name.clone());
         let caller = self.exchanges.conclude(request);
-        if !copy {
-            let reason = self.refusal_reason(request).filter(|_| !matches!(answer, Final::Passed(_)));
+        if !is_copy {
+            let reason =
+                self.refusal_reason(request).filter(|_| !matches!(response, FinalResponse::Forwarded(_)));
             reason.into_iter().for_each(|r| self.stats.record_refusal(r));
-            let counted = match &answer {
-                Final::Passed(_) => Outcome::Completed,
-                Final::Refused { .. } => Outcome::Rejected,
-                Final::Failed => Outcome::Failed,
+            let counted = match &response {
+                FinalResponse::Forwarded(_) => Outcome::Completed,
+                FinalResponse::Refused { .. } => Outcome::Rejected,
+                FinalResponse::Failed => Outcome::Failed,
             };
             self.stats.record_outcome(&class, counted);
-            let (outcome, status) = match &answer {
-                Final::Passed(a) => ("served", a.status),
-                Final::Refused { .. } => ("refused", 503),
-                Final::Failed => ("failed", 502),
+            let (outcome, status) = match &response {
+                FinalResponse::Forwarded(upstream) => ("served", upstream.status),
+                FinalResponse::Refused { .. } => ("refused", 503),
+                FinalResponse::Failed => ("failed", 502),
             };
             self.log_request(request, outcome, Some(status), None, reason);
         }
-        self.drop_unwritten(request);
-        self.forget(request);
+        self.drop_unwritten_attempts(request);
+        self.remove_if_finished(request);
         if let Some(caller) = caller {
-            self.answer_caller(caller, answer);
+            self.respond_to_caller(caller, response);
         }
     }
 
-    /// Why a request is refused or failed now.
+    /// The reason for which a request is refused or failed at this time.
     fn refusal_reason(&self, request: RequestId) -> Option<RefusalReason> {
-        let x = self.exchanges.open.get(&request)?;
+        let exchange = self.exchanges.open.get(&request)?;
         let now = self.net.clock.unix_time(Instant::now());
-        let standing = self.pools.get(x.pool).and_then(|p| p.decisions.list_standing(now));
+        let standing = self.pools.get(exchange.pool).and_then(|p| p.decisions.list_standing(now));
         Some(match standing {
-            _ if x.sends + x.sends_before > 0 => RefusalReason::AttemptsFailed,
+            _ if exchange.attempts + exchange.earlier_attempts > 0 => RefusalReason::AttemptsFailed,
             Some(s) if s.freshness == ListFreshness::Stale => RefusalReason::StaleList,
             _ => RefusalReason::NoRoom,
         })
     }
 
-    fn wants_line(&self, outcome: &str) -> bool {
+    /// Whether a request with this outcome gets a log line.
+    fn is_outcome_logged(&self, outcome: &str) -> bool {
         match self.log_requests {
             LogRequests::None => false,
             LogRequests::Failed => outcome != "served",
@@ -563,14 +626,14 @@
         }
     }
 
-    /// Writes the line of a request that could not be taken.
-    fn log_unfit(&self, listener: ListenerId, request: &Request, unfit: &Unfit) {
-        let (outcome, status, route) = match unfit {
-            Unfit::Bad(bad) => ("rejected", bad.0, None),
-            Unfit::Refused { route, .. } => ("refused", 503, route.as_ref().map(|r| &r.route)),
+    /// Logs a request that was not admitted.
+    fn log_not_admitted(&self, listener: ListenerId, request: &Request, error: &AdmissionError) {
+        let (outcome, status, route) = match error {
+            AdmissionError::Rejected(rejection) => ("rejected", rejection.0, None),
+            AdmissionError::Refused { route, .. } => ("refused", 503, route.as_ref().map(|r| &r.route)),
         };
-        if self.wants_line(outcome) {
-            let class = route.and_then(|r| self.version.as_ref().map(|v| v.class(r.class)));
+        if self.is_outcome_logged(outcome) {
+            let class = route.and_then(|r| self.active_config.as_ref().map(|v| v.class(r.class)));
             info!(self.net.log, "request"; "id" => request.id.as_deref().unwrap_or(""),
                 "listener" => self.callers.listener_name(listener),
                 "route" => route.map_or("", |r| &r.name), "class" => class.unwrap_or(""), "tenant" => "",
@@ -579,7 +642,7 @@
         }
     }
 
-    /// Writes a request's line, if it is to get one.
+    /// Logs the outcome of a request if the settings ask for it.
     fn log_request(
         &self,
         request: RequestId,
@@ -588,18 +651,21 @@
         upstream: Option<Target>,
         reason: Option<RefusalReason>,
     ) {
-        let Some(x) = self.exchanges.open.get(&request).filter(|_| self.wants_line(outcome)) else { return };
-        let labels = x.labels.as_ref();
-        info!(self.net.log, "request"; "id" => &x.id,
-            "listener" => x.listener.map_or("", |l| self.callers.listener_name(l)),
-            "route" => x.route.as_ref().map_or("", |r| &r.route.name),
+        let Some(exchange) = self.exchanges.open.get(&request).filter(|_| self.is_outcome_logged(outcome))
+        else {
+            return;
+        };
+        let labels = exchange.labels.as_ref();
+        info!(self.net.log, "request"; "id" => &exchange.id,
+            "listener" => exchange.listener.map_or("", |l| self.callers.listener_name(l)),
+            "route" => exchange.route.as_ref().map_or("", |r| &r.route.name),
             "class" => labels.map_or("", |l| &l.class),
             "tenant" => labels.and_then(|l| l.tenant.as_deref()).unwrap_or(""),
-            "pool" => self.pool_name(x.pool),
+            "pool" => self.pool_name(exchange.pool),
             "upstream" => upstream.map_or("", |t| self.upstream_name(t)),
             "outcome" => outcome, "status" => status.unwrap_or(0),
             "reason" => reason.map_or("", RefusalReason::name),
-            "attempts" => x.sends + x.sends_before,
-            "ms" => x.taken.elapsed().as_secs_f64() * 1e3);
+            "attempts" => exchange.attempts + exchange.earlier_attempts,
+            "ms" => exchange.accepted_at.elapsed().as_secs_f64() * 1e3);
     }
 }
--- a/crates/serve/src/export.rs
+++ b/crates/serve/src/export.rs
@@ -3,7 +3,7 @@
 //! interval has newer figures under the next number.
 
 use crate::duties::FleetDuties;
-use crate::{Net, Proxy, Reading, Watched};
+use crate::{Net, Proxy, ReadStatus, WatchedStream};
 use garnettally_config::file::Export as Plan;
 use garnettally_link::Link;
 use rustc_hash::FxHashMap;
@@ -57,7 +57,7 @@
 
 struct Call {
     number: u64,
-    socket: Watched,
+    socket: WatchedStream,
     output: Vec<u8>,
     written: usize,
     input: Vec<u8>,
@@ -107,7 +107,7 @@
     }
 
     fn begin(&mut self, net: &mut Net, now: Instant) {
-        let number = net.number();
+        let number = net.next_connection_id();
         let ready = move |proxy: &mut Proxy, r: calloop::Readiness| proxy.export_ready(number, r.writable);
         match crate::connect(self.plan.address).and_then(|s| net.watch(s, ready)) {
             Ok(socket) => {
@@ -190,7 +190,7 @@
             }
         }
         let Some(call) = &mut self.call else { return };
-        if let Err(e) = crate::write(&call.socket.stream, &call.output, &mut call.written) {
+        if let Err(e) = crate::write_pending(&call.socket.stream, &call.output, &mut call.written) {
             return self.fail(net, &e.to_string());
         }
         let reading = net.read(&call.socket.stream, &mut call.input, ANSWER_MOST);
@@ -209,7 +209,7 @@
                 }
                 code => self.fail(net, &format!("it answered {code}")),
             },
-            (Ok(httparse::Status::Partial), Reading::Open) if call.input.len() <= ANSWER_MOST => {}
+            (Ok(httparse::Status::Partial), ReadStatus::Open) if call.input.len() <= ANSWER_MOST => {}
             _ => self.fail(net, "its answer makes no sense"),
         }
     }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,11 +1,14 @@
-//! The real balancer round the module: sockets in, decisions asked, sockets out.
+//! The network side of the balancer: it reads requests from sockets, asks the decision module of their pool,
+//! and carries out its decisions on sockets.
 //!
-//! A request goes once from left to right: `callers` (listeners and their connections) read it with the codec `http`,
-//! `admission` finds its route, class and pool, `exchange` keeps its life, `pools` ask their modules, and `upstreams`
-//! carry its attempts. `source` and `discovery` say where the nodes are, `lease` what connections and requests hold
-//! of the limits, `plan` what is to be served at all, `reload` what has changed of it, and `shutdown` how it ends.
-//! `fleet`, where the operator's file has it, is the link to the other balancers, and `duties` what one does for all.
-//! [`Proxy`] is the state that the event loop hands to each of them.
+//! A request passes through the modules in this order: `callers` (listeners and their connections) reads it
+//! with the codec `http`, `admission` finds its route, class and pool, `exchange` tracks it until its
+//! response, `pools` runs the decision modules, and `upstreams` carries its attempts. `source` and
+//! `discovery` provide the lists of nodes, `lease` accounts for what connections and requests take of the
+//! limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the process.
+//! `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties` runs the
+//! work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop passes to all
+//! of them.
 #![forbid(unsafe_code)]
 
 mod admin;
@@ -52,10 +55,10 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime};
 
-/// The number of a connection; never used again.
+/// The number of a connection; numbers are never reused.
 pub type ConnId = u64;
 
-/// The whole balancer.
+/// The state of one balancer process.
 pub struct Proxy {
     net: Net,
     budgets: pools::Budgets,
@@ -63,92 +66,100 @@
     pools: pools::Pools,
     upstreams: upstreams::Upstreams,
     exchanges: exchange::Exchanges,
-    /// The version of the operator's file in force; `None`: the platform's protocol is served.
-    version: Option<Rc<admission::Version>>,
+    /// The active version of the operator's file; `None`: the process serves the platform's protocol.
+    active_config: Option<Rc<admission::ActiveConfig>>,
     pins: Pins<PoolId>,
-    /// Hashes keys of requests; nobody outside can choose keys that meet.
+    /// Seeds the hash of request keys, so that outsiders can't construct keys that collide.
     key_seed: u64,
-    /// For random numbers of new pools.
+    /// Seeds the random numbers of new pools.
     seed: u64,
     log_requests: LogRequests,
     reload: reload::Reloads,
     shutdown: shutdown::Shutdown,
     admin: admin::Admin,
-    /// Only where the operator's file has `[fleet]`.
+    /// The link to the other balancers; `None` unless the operator's file has `[fleet]`.
     fleet: Option<fleet::Fleet>,
     stats: stats::Stats,
+    /// When aged connections, pools and listeners are examined next.
     next_sweep: Instant,
 }
 
-/// What every concern needs to serve sockets.
+/// The part of the state that every module needs to serve sockets.
 pub struct Net {
     pub handle: LoopHandle<'static, Proxy>,
     pub log: Logger,
     pub limits: Limits,
     pub clock: Clock,
     pub rng: fastrand::Rng,
-    /// When the sockets are looked at.
+    /// Tracks when the event loop last polled the sockets.
     pub rounds: Rounds,
+    /// The buffer for a single read.
     scratch: Vec<u8>,
-    next: ConnId,
+    /// The number given to the newest connection.
+    last_connection: ConnId,
 }
 
-/// Where reading has got to.
+/// The state of a stream after reading from it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadStatus {
+    /// The peer may send more.
     Open,
+    /// The peer has ended its sending.
     Ended,
+    /// Reading failed.
     Broken,
 }
 
-/// A stream that the event loop watches.
-pub struct Watched {
+/// A stream that is registered with the event loop.
+pub struct WatchedStream {
     pub stream: Rc<TcpStream>,
     token: RegistrationToken,
 }
 
 impl Net {
-    pub fn number(&mut self) -> ConnId {
-        self.next += 1;
-        self.next
+    /// Returns the number for a new connection.
+    pub fn next_connection_id(&mut self) -> ConnId {
+        self.last_connection += 1;
+        self.last_connection
     }
 
-    /// Has `ready` called whenever the stream has become readable or writable.
+    /// Registers a stream with the event loop, which calls `ready` whenever it becomes readable or writable
+    /// (edge-triggered).
     pub fn watch(
         &self,
         stream: TcpStream,
         ready: impl Fn(&mut Proxy, Readiness) + 'static,
-    ) -> io::Result<Watched> {
+    ) -> io::Result<WatchedStream> {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = self.handle.insert_source(source, move |readiness, _, proxy: &mut Proxy| {
             ready(proxy, readiness);
             Ok(PostAction::Continue)
         });
-        Ok(Watched { stream, token: token.map_err(|e| io::Error::other(e.error))? })
+        Ok(WatchedStream { stream, token: token.map_err(|e| io::Error::other(e.error))? })
     }
 
-    /// Stops watching; the stream closes with its last holder.
-    pub fn unwatch(&self, watched: Watched) {
+    /// Removes a stream from the event loop. The stream closes once its last reference is dropped.
+    pub fn unwatch(&self, watched: WatchedStream) {
         self.handle.remove(watched.token);
     }
 
-    /// Reads what there is, until `buf` holds more than `most`.
-    pub fn read(&mut self, mut stream: &TcpStream, buf: &mut Vec<u8>, most: usize) -> Reading {
-        while buf.len() <= most {
+    /// Appends available bytes to `buf` until the socket has none left or `buf` holds more than `max_bytes`.
+    pub fn read(&mut self, mut stream: &TcpStream, buf: &mut Vec<u8>, max_bytes: usize) -> ReadStatus {
+        while buf.len() <= max_bytes {
             match stream.read(&mut self.scratch) {
-                Ok(0) => return Reading::Ended,
+                Ok(0) => return ReadStatus::Ended,
                 Ok(n) => buf.extend_from_slice(&self.scratch[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Reading::Open,
-                Err(_) => return Reading::Broken,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadStatus::Open,
+                Err(_) => return ReadStatus::Broken,
             }
         }
-        Reading::Open
+        ReadStatus::Open
     }
 }
 
-/// Begins to connect; the stream becomes writable once it is up.
+/// Starts a non-blocking connect; the stream becomes writable once the connection is established.
 fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -162,12 +173,13 @@
     }
 }
 
-/// Writes on from `at`; an error is a broken connection.
-pub fn write(mut stream: &TcpStream, buf: &[u8], at: &mut usize) -> io::Result<()> {
-    while *at < buf.len() {
-        match stream.write(&buf[*at..]) {
+/// Writes the bytes of `buf` from `written` on, as far as the socket accepts them, and advances `written`.
+/// After an error the connection is unusable.
+pub fn write_pending(mut stream: &TcpStream, buf: &[u8], written: &mut usize) -> io::Result<()> {
+    while *written < buf.len() {
+        match stream.write(&buf[*written..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => *at += n,
+            Ok(n) => *written += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) => return Err(e),
@@ -176,7 +188,8 @@
     Ok(())
 }
 
-/// Serves until nothing is owed after SIGTERM.
+/// Serves until the process has received SIGTERM and every outstanding response is written. The error of a
+/// failed start or of the event loop is returned as text.
 pub fn serve(plan: Plan, log: Logger, signals: Signals) -> Result<(), String> {
     let mut events: EventLoop<'static, Proxy> = EventLoop::try_new().map_err(|e| e.to_string())?;
     let clock = Clock::new(Instant::now(), SystemTime::now());
@@ -187,33 +200,33 @@
     let rounds = Rounds::new(now);
     let waker = events.handle().insert_source(rounds.waker(), |(), (), _| ());
     waker.map_err(|e| format!("event loop: {e}"))?;
-    let net = Net { handle: events.handle(), log, rng, rounds, scratch, limits, clock, next: 0 };
+    let net = Net { handle: events.handle(), log, rng, rounds, scratch, limits, clock, last_connection: 0 };
     let budgets = pools::Budgets {
         requests: Shared::new(plan.requests),
         connections: Shared::new(net.limits.max_connections),
         callers: Shared::new(net.limits.max_caller_connections + 1),
         copies: Shared::new(usize::MAX),
     };
-    let mut listening = callers::Callers::default();
+    let mut callers = callers::Callers::default();
     for listener in plan.listeners {
         let (name, address) = (listener.name.clone(), listener.address);
         let bound = callers::bind(&net, address, true);
         let added = bound.and_then(|bound| {
-            // With port 0 the system chooses one, which only this line tells.
+            // With port 0 the system chooses the port, and only this log line reports it.
             let address = bound.local_addr()?;
             info!(net.log, "listening"; "name" => &plan.name, "listener" => name, "address" => %address);
-            listening.add(&net, &budgets, listener, bound)
+            callers.add_listener(&net, &budgets, listener, bound)
         });
         added.map_err(|e| format!("can't listen on {address}: {e}"))?;
     }
     let key_seed = plan.seed.rotate_left(32) ^ 0x6b65_7973;
     let mut proxy = Proxy {
         budgets,
-        callers: listening,
+        callers,
         pools: pools::Pools::default(),
         upstreams: upstreams::Upstreams::default(),
         exchanges: exchange::Exchanges::default(),
-        version: None,
+        active_config: None,
         pins: Pins::new(plan.pins),
         key_seed,
         seed: plan.seed,
@@ -249,30 +262,31 @@
         .handle()
         .insert_source(signals, |event, _, proxy| match event.signal() {
             Signal::SIGHUP => proxy.reload(Instant::now()),
-            // The write that went over a limit has failed, and that is all.
+            // The write that exceeded the file size limit has failed with an error; the signal needs no
+            // action.
             Signal::SIGXFSZ => {}
             _ => proxy.begin_shutdown(),
         })
         .map_err(|e| e.to_string())?;
     while !proxy.finished() {
-        let until = proxy.next_wake();
+        let wake_at = proxy.next_wake();
         let now = Instant::now();
-        proxy.net.rounds.wait(now, until);
-        let wait = until.map(|at| at.saturating_duration_since(now));
-        events.dispatch(wait, &mut proxy).map_err(|e| format!("event loop: {e}"))?;
-        proxy.turn(Instant::now());
+        proxy.net.rounds.wait(now, wake_at);
+        let timeout = wake_at.map(|at| at.saturating_duration_since(now));
+        events.dispatch(timeout, &mut proxy).map_err(|e| format!("event loop: {e}"))?;
+        proxy.run_due_work(Instant::now());
     }
     if let Some(fleet) = &mut proxy.fleet {
         fleet.leave();
     }
     proxy.admin.stop(&proxy.net);
-    info!(proxy.net.log, "nothing is owed any more");
+    info!(proxy.net.log, "shutdown complete: no response is outstanding");
     Ok(())
 }
 
 impl Proxy {
-    /// What time brings about, after each round of the event loop.
-    fn turn(&mut self, now: Instant) {
+    /// Does the work that is due by time, after each round of the event loop.
+    fn run_due_work(&mut self, now: Instant) {
         self.expire_attempts(now);
         self.tend_sources(now);
         self.continue_reload(now);
@@ -283,40 +297,42 @@
             self.sweep_callers(now);
             self.upstreams.sweep(&self.net, now);
             self.review_pools(now);
-            self.end_left_listeners();
+            self.remove_closed_listeners();
             self.end_left_pools();
             self.pins.expire(self.net.clock.unix_time(now));
         }
         self.resume_accepting(now);
         self.resume_reading();
         self.continue_shutdown(now);
-        self.consult(now);
-        self.tend_fleet(now);
+        self.run_due_modules(now);
+        self.exchange_with_fleet(now);
     }
 
-    /// The link's own work, and what the modules and the other members have to tell each other.
-    fn tend_fleet(&mut self, now: Instant) {
+    /// Runs the fleet link's own work, and exchanges reports between the decision modules and the other
+    /// members.
+    fn exchange_with_fleet(&mut self, now: Instant) {
         let drained = self.shutdown.ending() || self.admin.draining();
-        // What was read and is not told yet would pass for silence.
-        let untold = self.pools.iter().any(|p| p.first_news().is_some());
-        let told_at = self.next_consultation().filter(|_| untold);
+        // Responses that are read but not yet reported to the modules would count as missing.
+        let has_queued = self.pools.iter().any(|p| p.first_news().is_some());
+        let modules_run_at = self.next_module_run().filter(|_| has_queued);
         let Some(fleet) = &mut self.fleet else { return };
         fleet.drain(drained);
         fleet.turn(&mut self.net, self.stats.totals(), now);
-        if !fleet.looks(now) || told_at.is_some_and(|at| fleet.postpone_look(at)) {
+        if !fleet.looks(now) || modules_run_at.is_some_and(|at| fleet.postpone_look(at)) {
             return;
         }
         let seen: Vec<fleet::Seen<'_>> = self.pools.iter().filter(|p| !p.leaving).map(|p| p.seen()).collect();
-        let heard = fleet.look(&self.net.log, now, self.net.clock.unix_time(now), &seen);
+        let peer_verdicts = fleet.look(&self.net.log, now, self.net.clock.unix_time(now), &seen);
         let share = fleet.share();
         self.share_pools(share);
-        for (id, hearsay) in heard {
+        for (id, verdict) in peer_verdicts {
             if let Some(pool) = self.pools.get_mut(id) {
-                pool.queue(Report::PeerVerdict(hearsay), now);
+                pool.queue(Report::PeerVerdict(verdict), now);
             }
         }
     }
 
+    /// The time until which the event loop may wait for sockets: the earliest time at which work is due.
     fn next_wake(&self) -> Option<Instant> {
         if self.callers.has_unread() {
             return Some(Instant::now());
@@ -326,27 +342,28 @@
             self.upstreams.next_deadline(),
             self.pools.iter().filter_map(|p| p.source.next_wake()).min(),
             self.reload.next_wake(),
-            self.callers.resume_at(),
+            self.callers.accepting_resumes_at(),
             self.shutdown.next_wake(self.net.limits.accept_pause),
             self.admin.next_wake(&self.net),
-            // Once passed, closing idle connections goes on at every turn and sweep: no wake of its own, or the
-            // loop would spin for the whole drain.
+            // Once this time has passed, every round and every sweep closes idle connections. A wake-up in
+            // the past would make the loop spin for the whole drain.
             self.admin
                 .drained_since
                 .map(|at| at + self.net.limits.admin_drain_keepalive)
                 .filter(|&at| at > Instant::now()),
-            self.next_consultation(),
+            self.next_module_run(),
             self.fleet.as_ref().map(|f| f.next_wake()),
         ];
         wakes.into_iter().flatten().min()
     }
 
-    /// Makes room for one more connection of this holder, if idle ones take it; upstream connections go first.
-    fn has_room(&mut self, holder: HolderId) -> bool {
+    /// Closes idle connections until this holder may have one more, upstream connections first. Returns
+    /// whether it may.
+    fn make_room(&mut self, holder: HolderId) -> bool {
         while let Err(why) = self.budgets.connections.check(&[Some(holder)]) {
             let helps = |lease: &Lease| lease.helps(holder, why);
             if !self.upstreams.close_oldest_idle(&self.net, helps)
-                && !self.close_idle_caller_helping(holder, why)
+                && !self.close_idle_caller_admitting(holder, why)
             {
                 return false;
             }
@@ -354,8 +371,9 @@
         true
     }
 
-    fn make_room(&mut self, holder: HolderId) -> Option<Lease> {
-        if self.has_room(holder) {
+    /// Takes one connection of this holder from the limits, if necessary after closing idle ones.
+    fn acquire_connection(&mut self, holder: HolderId) -> Option<Lease> {
+        if self.make_room(holder) {
             self.budgets.connections.take(&[Some(holder)]).ok()
         } else {
             None
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -1,7 +1,7 @@
 //! The pools: each with its own instance of the decision module, its own source of nodes and its own terms.
 
 use crate::discovery::Discovery;
-use crate::exchange::News;
+use crate::exchange::ModuleInput;
 use crate::fleet::Seen;
 use crate::plan::PoolPlan;
 use crate::source::{whole, Source};
@@ -58,7 +58,7 @@
     logged_standing: Option<ListFreshness>,
     /// Its first call to discovery has had its time, or its list could be used without.
     is_started: bool,
-    news: Vec<News>,
+    news: Vec<ModuleInput>,
     first_news: Option<Instant>,
 }
 
@@ -103,15 +103,15 @@
 
     /// Has the module hear of this at its next turn.
     pub fn queue(&mut self, report: Report, now: Instant) {
-        self.add(News::Known(report), now);
+        self.add(ModuleInput::Report(report), now);
     }
 
-    pub fn add(&mut self, news: News, now: Instant) {
+    pub fn add(&mut self, news: ModuleInput, now: Instant) {
         self.news.push(news);
         self.first_news.get_or_insert(now);
     }
 
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_news(&mut self) -> Vec<ModuleInput> {
         self.first_news = None;
         std::mem::take(&mut self.news)
     }
@@ -367,7 +367,7 @@
             }
         }
         for target in left {
-            self.leave_upstream(target);
+            self.withdraw_unbegun_attempts(target);
         }
         decisions
     }
--- a/crates/serve/src/reload.rs
+++ b/crates/serve/src/reload.rs
@@ -5,7 +5,7 @@
 //! only then does anything change; a file that can't be used changes nothing. Requests that were taken end in the
 //! pools and by the rules that they were taken under.
 
-use crate::admission::Version;
+use crate::admission::ActiveConfig;
 use crate::callers;
 use crate::plan::{PoolPlan, Reload};
 use crate::pools::PoolId;
@@ -180,8 +180,11 @@
     fn apply(&mut self, mut operator: OperatorConfig, now: Instant) -> Result<(), String> {
         // What may fail comes first.
         let mut bound: BTreeMap<String, TcpListener> = BTreeMap::new();
-        let listening: Vec<_> =
-            self.callers.listening().map(|(id, name, address)| (id, name.to_string(), address)).collect();
+        let listening: Vec<_> = self
+            .callers
+            .open_listeners()
+            .map(|(id, name, address)| (id, name.to_string(), address))
+            .collect();
         for l in &operator.listeners {
             if !listening.iter().any(|(_, name, address)| *name == l.name && *address == l.address) {
                 let socket = callers::bind(&self.net, l.address, true).map_err(|e| {
@@ -230,10 +233,10 @@
         for l in std::mem::take(&mut operator.listeners) {
             let old = listening.iter().find(|(_, name, address)| *name == l.name && *address == l.address);
             match (old, bound.remove(&l.name)) {
-                (Some((id, ..)), _) => self.callers.change(&self.budgets, *id, &l),
+                (Some((id, ..)), _) => self.callers.set_shares(&self.budgets, *id, &l),
                 (None, Some(socket)) => {
                     let (name, address) = (l.name.clone(), l.address);
-                    match self.callers.add(&self.net, &self.budgets, l, socket) {
+                    match self.callers.add_listener(&self.net, &self.budgets, l, socket) {
                         Ok(()) => info!(self.net.log, "listening"; "listener" => name, "address" => %address),
                         Err(e) => {
                             error!(self.net.log, "a new listener can't be served"; "listener" => name, "error" => %e)
@@ -246,7 +249,7 @@
         for (id, name, address) in &listening {
             if !wanted.contains(&(name.clone(), *address)) {
                 info!(self.net.log, "the listener ends"; "listener" => name, "address" => %address);
-                self.leave_listener(*id);
+                self.retire_listener(*id);
             }
         }
         if let Some(fleet) = &mut self.fleet {
@@ -265,13 +268,13 @@
     pub fn put_in_force(&mut self, operator: OperatorConfig, pools: Vec<PoolId>) {
         self.reload.versions += 1;
         // A route that stays, by its name, goes on in what it is counted in.
-        let before = self.version.take();
+        let before = self.active_config.take();
         let mut held: BTreeMap<String, HolderId> = BTreeMap::new();
         for (name, holder) in before.iter().flat_map(|v| v.holders()) {
             held.insert(name.to_string(), holder);
         }
         let requests = self.budgets.requests.clone();
-        let version = Version::new(operator, pools, |name, share| match held.remove(name) {
+        let version = ActiveConfig::new(operator, pools, |name, share| match held.remove(name) {
             Some(holder) => {
                 requests.change(holder, share);
                 holder
@@ -279,6 +282,6 @@
             None => requests.join(share),
         });
         held.into_values().for_each(|holder| self.budgets.requests.leave(holder));
-        self.version = Some(Rc::new(version));
+        self.active_config = Some(Rc::new(version));
     }
 }
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -59,7 +59,7 @@
             self.shutdown.closing = true;
         }
         if self.shutdown.closing || self.admin.closes_idle(&self.net, now) {
-            self.end_idle_callers(now, true);
+            self.close_idle_callers(now, true);
         }
         if self.shutdown.closing
             && !self.shutdown.deaf
@@ -67,7 +67,7 @@
         {
             // What the kernel has accepted meanwhile is taken already.
             self.accept_all();
-            if self.callers.rests() && self.shutdown.answer_by.is_some_and(|by| now < by) {
+            if self.callers.is_accepting_paused() && self.shutdown.answer_by.is_some_and(|by| now < by) {
                 // There is no room for some of it: closing the listener would reset them.
                 self.shutdown.accept_until = Some(now + self.net.limits.accept_pause);
                 return;
@@ -80,6 +80,8 @@
     /// Nothing is owed and nobody is listened to.
     pub fn finished(&self) -> bool {
         let linger = self.net.limits.drain_linger;
-        self.shutdown.deaf && !self.exchanges.owes() && !self.callers.owes(Instant::now(), linger)
+        self.shutdown.deaf
+            && !self.exchanges.has_pending()
+            && !self.callers.has_outstanding_work(Instant::now(), linger)
     }
 }
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -6,7 +6,7 @@
 use crate::reasons::CloseReason;
 use crate::rounds::Rounds;
 use crate::socket_errors::is_local_shortage;
-use crate::{ConnId, Net, Proxy, Reading, Watched};
+use crate::{ConnId, Net, Proxy, ReadStatus, WatchedStream};
 use garnettally_decisions::facade::{Code, RequestId, ServerId};
 use garnettally_routing::budget::{exceeds_share, HolderId, Share};
 use rustc_hash::FxHashMap;
@@ -66,7 +66,7 @@
     upstream: Target,
     lease: Lease,
     address: SocketAddr,
-    socket: Watched,
+    socket: WatchedStream,
     /// It has come up.
     open: bool,
     output: Vec<u8>,
@@ -194,7 +194,7 @@
         } else if let Some(ids) = self.idle.get_mut(&conn.upstream) {
             ids.retain(|&i| i != id);
         }
-        net.unwatch(Watched { stream: conn.socket.stream.clone(), token: conn.socket.token });
+        net.unwatch(WatchedStream { stream: conn.socket.stream.clone(), token: conn.socket.token });
         Some(conn)
     }
 
@@ -310,13 +310,13 @@
                     return self.attempt_ended(failed);
                 };
                 let (holder, connect) = (terms.holder, terms.connect);
-                let Some(lease) = self.make_room(holder) else {
+                let Some(lease) = self.acquire_connection(holder) else {
                     warn!(self.net.log, "no connection is left for an attempt"; "upstreams" => self.upstreams.count(),
                         "pool" => self.pool_name(to.pool));
                     // It tells nothing of the upstream.
                     return self.attempt_ended(Ended { target: None, code: Code::Moot, ..failed });
                 };
-                let id = self.net.number();
+                let id = self.net.next_connection_id();
                 let ready =
                     move |proxy: &mut Proxy, r: calloop::Readiness| proxy.upstream_ready(id, r.writable);
                 let socket = match crate::connect(address).and_then(|s| self.net.watch(s, ready)) {
@@ -390,7 +390,7 @@
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         let before = conn.written;
-        let wrote = crate::write(&conn.socket.stream, &conn.output, &mut conn.written);
+        let wrote = crate::write_pending(&conn.socket.stream, &conn.output, &mut conn.written);
         if conn.flight.is_some() && before < conn.output.len() && conn.written == conn.output.len() {
             self.stats.record_attempt_written();
         }
@@ -399,7 +399,7 @@
         let reading = self.net.read(&conn.socket.stream, &mut conn.input, most);
         if conn.flight.is_none() {
             // An idle connection has nothing to say but that it ends.
-            if reading != Reading::Open || !conn.input.is_empty() {
+            if reading != ReadStatus::Open || !conn.input.is_empty() {
                 self.upstreams.remove(&self.net, id, CloseReason::Broken);
             }
             return;
@@ -410,11 +410,12 @@
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         if !conn.input.is_empty() {
             let head = conn.flight.as_ref().is_some_and(|f| f.head);
-            let parsed = http::parse_response(&conn.input, reading == Reading::Ended, head, &self.net.limits);
+            let parsed =
+                http::parse_response(&conn.input, reading == ReadStatus::Ended, head, &self.net.limits);
             match parsed {
-                Ok(Some(answer)) => return self.answered(id, answer, reading == Reading::Open),
+                Ok(Some(answer)) => return self.answered(id, answer, reading == ReadStatus::Open),
                 Ok(None) if conn.input.len() <= most && !crowded => {}
-                _ if reading == Reading::Broken => {}
+                _ if reading == ReadStatus::Broken => {}
                 _ => {
                     let why = match parsed {
                         Err(http::HttpError(413)) => "longer than an answer may be",
@@ -430,7 +431,7 @@
                 }
             }
         }
-        if wrote.is_err() || reading != Reading::Open {
+        if wrote.is_err() || reading != ReadStatus::Open {
             self.upstream_broken(id);
         }
     }
