--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -74,7 +74,7 @@
 
 /// The result of parsing the bytes of a call received so far.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Parsed {
+pub enum ParsedCall {
     /// The head is incomplete.
     Partial,
     /// The head is complete and contains this call; a body may still follow.
@@ -84,18 +84,19 @@
 }
 
 /// Parses a call's head.
-pub fn parse_call(input: &[u8]) -> Parsed {
+pub fn parse_call(input: &[u8]) -> ParsedCall {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(input) {
         Ok(httparse::Status::Complete(_)) => {
-            Parsed::Complete(route(request.method.unwrap_or(""), request.path.unwrap_or("")))
+            ParsedCall::Complete(route(request.method.unwrap_or(""), request.path.unwrap_or("")))
         }
-        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => Parsed::Partial,
-        _ => Parsed::Malformed,
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => ParsedCall::Partial,
+        _ => ParsedCall::Malformed,
     }
 }
 
+/// A connection to the admin address; it carries one call.
 struct Conn {
     socket: WatchedStream,
     input: Vec<u8>,
@@ -291,13 +292,13 @@
         }
         let parsed = parse_call(&conn.input);
         match (parsed, reading) {
-            (Parsed::Complete(call), _) => {
+            (ParsedCall::Complete(call), _) => {
                 let input = std::mem::take(&mut conn.input);
                 self.admin_call(id, call, &input);
             }
-            (Parsed::Malformed, _) => self.admin.respond(&self.net, id, 400, b""),
-            (Parsed::Partial, ReadStatus::Open) => {}
-            (Parsed::Partial, _) => self.admin.drop_conn(&self.net, id),
+            (ParsedCall::Malformed, _) => self.admin.respond(&self.net, id, 400, b""),
+            (ParsedCall::Partial, ReadStatus::Open) => {}
+            (ParsedCall::Partial, _) => self.admin.drop_conn(&self.net, id),
         }
     }
 
--- a/crates/serve/src/admin_tests.rs
+++ b/crates/serve/src/admin_tests.rs
@@ -17,9 +17,9 @@
 fn an_incomplete_head_is_partial_and_invalid_bytes_are_malformed() {
     let call = b"PUT /healthcheck/fail HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
     for cut in 0..call.len() {
-        assert_eq!(parse_call(&call[..cut]), Parsed::Partial, "cut at {cut}");
+        assert_eq!(parse_call(&call[..cut]), ParsedCall::Partial, "cut at {cut}");
     }
-    assert_eq!(parse_call(call), Parsed::Complete(AdminCall::StartDrain));
-    assert_eq!(parse_call(b"\x16\x03\x01 not http\r\n\r\n"), Parsed::Malformed);
-    assert_eq!(parse_call(&vec![b'a'; MAX_HEAD_BYTES]), Parsed::Malformed);
+    assert_eq!(parse_call(call), ParsedCall::Complete(AdminCall::StartDrain));
+    assert_eq!(parse_call(b"\x16\x03\x01 not http\r\n\r\n"), ParsedCall::Malformed);
+    assert_eq!(parse_call(&vec![b'a'; MAX_HEAD_BYTES]), ParsedCall::Malformed);
 }
