--- a/crates/link/src/bucket.rs
+++ b/crates/link/src/bucket.rs
@@ -1,33 +1,34 @@
-//! A bound on a rate.
+//! A token bucket that bounds a rate.
 
 use garnettally_model::Micros;
 
-/// So much a second, and so much at once.
+/// Allows `rate` units per second on average and at most `burst` units at once.
 pub struct TokenBucket {
     rate: u64,
     burst: u64,
-    /// What may be taken now, in millionths.
-    level: u128,
-    at: Micros,
+    /// The units available at `updated_at`, in millionths of a unit.
+    available: u128,
+    updated_at: Micros,
 }
 
 impl TokenBucket {
-    /// Full at first.
+    /// Creates a bucket that starts full.
     pub fn new(rate: u64, burst: u64, now: Micros) -> TokenBucket {
-        TokenBucket { rate, burst, level: u128::from(burst) * 1_000_000, at: now }
+        TokenBucket { rate, burst, available: u128::from(burst) * 1_000_000, updated_at: now }
     }
 
-    /// Takes this much, if it is there.
-    pub fn try_take(&mut self, now: Micros, n: u64) -> bool {
-        let passed = (now - self.at).0.max(0) as u128;
-        self.at = self.at.max(now);
-        self.level = (self.level + passed * u128::from(self.rate)).min(u128::from(self.burst) * 1_000_000);
-        let wanted = u128::from(n) * 1_000_000;
-        let there = wanted <= self.level;
-        if there {
-            self.level -= wanted;
+    /// Removes `units` from the bucket if that many are available, and returns whether it did.
+    pub fn try_take(&mut self, now: Micros, units: u64) -> bool {
+        let elapsed_us = (now - self.updated_at).0.max(0) as u128;
+        self.updated_at = self.updated_at.max(now);
+        self.available =
+            (self.available + elapsed_us * u128::from(self.rate)).min(u128::from(self.burst) * 1_000_000);
+        let requested = u128::from(units) * 1_000_000;
+        let is_available = requested <= self.available;
+        if is_available {
+            self.available -= requested;
         }
-        there
+        is_available
     }
 }
 
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,9 @@
-//! The fleet link in I/O: one UDP socket, the key file, and bounds on what comes and goes (docs/design/fleet.md).
+//! The I/O of the fleet link: one UDP socket, the key file, and bounds on the rates at which datagrams are sent and
+//! received (docs/design/fleet.md).
 //!
-//! [`Link`] drives `garnettally_peers` from an event loop that belongs to somebody else: the loop watches
-//! [`Link::socket`], calls [`Link::on_readable`] and, at [`Link::next_wake`], [`Link::run_due_timers`]. No call blocks, and none
-//! works on more than a bounded part of what lies there, so that requests are never kept waiting.
+//! [`Link`] drives `garnettally_peers` from the caller's event loop: the loop watches [`Link::socket`], calls
+//! [`Link::on_readable`] and, at [`Link::next_wake`], [`Link::run_due_timers`]. No call blocks, and each call reads
+//! only a bounded number of the queued datagrams, so that requests are not delayed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,149 +25,154 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// What the operator's file says of the link.
+/// The settings of the link, taken from the operator's file.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// The member, and its times and bounds; with port 0 in its address the system's choice is told to peers.
+    /// The settings of this member. If the port of its address is 0, peers are given the port that the system chose.
     pub member: Settings,
-    /// Where datagrams are taken.
+    /// The local address on which datagrams are received.
     pub bind_address: SocketAddr,
-    /// The keys; without them only loopback addresses are taken.
+    /// The path of the key file. Without it, only loopback addresses are accepted as peers.
     pub key_file: Option<PathBuf>,
-    /// Bytes a second that are sent at the most.
+    /// The most bytes sent per second; datagrams beyond this rate are dropped.
     pub max_send_bytes_per_s: u64,
-    /// Datagrams a second that are looked at at the most; the rest is dropped unread.
+    /// The most datagrams processed per second; datagrams beyond this rate are dropped without being parsed.
     pub max_receive_datagrams_per_s: u64,
 }
 
-/// Why there is no link, or no new key.
+/// The reasons why the link can't be opened or its keys can't be reloaded.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The key file can't be read.
+    /// The key file can't be opened or read.
     #[error("fleet.key_file {path}: {source}")]
     KeyFile {
-        /// Its path.
+        /// The path of the key file.
         path: PathBuf,
-        /// Why.
+        /// The error from the file system.
         source: io::Error,
     },
-    /// The key file holds something else.
+    /// The key file was read, and its content is malformed.
     #[error("fleet.key_file {path}: {source}")]
     Keys {
-        /// Its path.
+        /// The path of the key file.
         path: PathBuf,
-        /// What is wrong.
+        /// The problem found in its content.
         source: garnettally_peers::KeyFileError,
     },
-    /// The socket can't be had.
+    /// The socket can't be created or bound.
     #[error("fleet.address {address}: {source}")]
     Bind {
-        /// Where.
+        /// The local address that was to be bound.
         address: SocketAddr,
-        /// Why.
+        /// The error from the system.
         source: io::Error,
     },
-    /// The system has no random numbers.
-    #[error("no random numbers: {0}")]
+    /// The system's random number generator failed.
+    #[error("the system's random number generator failed, so the fleet link has no seed: {0}")]
     Random(String),
 }
 
-/// Datagrams that one call of [`Link::on_readable`] takes: some hundred microseconds of work.
-const READ_AT_ONCE: usize = 32;
-/// Bytes that are read of a key file: it holds eight keys at the most, and comments.
+/// The most datagrams that one call of [`Link::on_readable`] reads: a few hundred microseconds of work.
+const MAX_DATAGRAMS_PER_READ: usize = 32;
+/// The number of bytes read from a key file, which contains at most eight keys and comments.
 const MAX_KEY_FILE_BYTES: u64 = 64 << 10;
-/// Bytes that the kernel may hold for us while the loop is busy.
-const SOCKET_BUFFER: usize = 1 << 20;
+/// The size requested for the socket's receive buffer, in which datagrams wait while the event loop is busy.
+const SOCKET_BUFFER_BYTES: usize = 1 << 20;
 
-/// What the link itself dropped.
+/// Datagrams that the link itself dropped, counted since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters {
-    /// Datagrams that came beyond the rate.
+    /// Received datagrams dropped because they exceeded the receive rate.
     pub over_receive_rate: u64,
-    /// Datagrams that were to go beyond the rate.
+    /// Outgoing datagrams dropped because they exceeded the send rate.
     pub over_send_rate: u64,
-    /// Datagrams that the system did not take.
+    /// Outgoing datagrams for which the system returned an error.
     pub send_failed: u64,
 }
 
-/// A member of the fleet on its socket.
+/// This process's membership of the fleet, connected to a UDP socket.
 pub struct Link {
     socket: Rc<UdpSocket>,
     peers: Peers,
     key_file: Option<PathBuf>,
-    out: TokenBucket,
-    inward: TokenBucket,
+    send_bucket: TokenBucket,
+    receive_bucket: TokenBucket,
     dropped: DropCounters,
     events: Vec<Event>,
-    letters: Vec<(u64, Vec<u8>)>,
+    messages: Vec<(u64, Vec<u8>)>,
     buffer: Vec<u8>,
 }
 
-/// The time since the machine started, by which all of the fleet's times are measured. It goes on while the machine sleeps and while the process is stopped: what was
-/// known before is as old afterwards as it really is.
+/// The time since the machine started, by which the fleet measures all of its times. This clock also advances while
+/// the machine is suspended and while the process is stopped, so that after such a pause the age of stored
+/// information is still its true age.
 pub fn time_since_boot() -> Micros {
-    let t = clock_gettime(ClockId::Boottime);
-    Micros(t.tv_sec.saturating_mul(1_000_000).saturating_add(t.tv_nsec / 1_000))
+    let time = clock_gettime(ClockId::Boottime);
+    Micros(time.tv_sec.saturating_mul(1_000_000).saturating_add(time.tv_nsec / 1_000))
 }
 
 fn read_keys(path: &PathBuf) -> Result<Keys, LinkError> {
     let mut text = String::new();
-    let read = std::fs::File::open(path).and_then(|f| f.take(MAX_KEY_FILE_BYTES).read_to_string(&mut text));
-    read.map_err(|source| LinkError::KeyFile { path: path.clone(), source })?;
+    let result = std::fs::File::open(path).and_then(|f| f.take(MAX_KEY_FILE_BYTES).read_to_string(&mut text));
+    result.map_err(|source| LinkError::KeyFile { path: path.clone(), source })?;
     Keys::parse(&text).map_err(|source| LinkError::Keys { path: path.clone(), source })
 }
 
 impl Link {
-    /// Reads the keys and takes the address.
-    pub fn open(mut set: LinkSettings) -> Result<Link, LinkError> {
-        let keys = set.key_file.as_ref().map(read_keys).transpose()?;
-        let failed = |source| LinkError::Bind { address: set.bind_address, source };
-        let socket = bind(set.bind_address).map_err(failed)?;
-        if set.member.address.port() == 0 {
-            set.member.address.set_port(socket.local_addr().map_err(failed)?.port());
+    /// Reads the key file and binds the socket.
+    pub fn open(mut settings: LinkSettings) -> Result<Link, LinkError> {
+        let keys = settings.key_file.as_ref().map(read_keys).transpose()?;
+        let failed = |source| LinkError::Bind { address: settings.bind_address, source };
+        let socket = bind(settings.bind_address).map_err(failed)?;
+        if settings.member.address.port() == 0 {
+            settings.member.address.set_port(socket.local_addr().map_err(failed)?.port());
         }
         let mut seed = [0; 32];
         SysRng.try_fill_bytes(&mut seed).map_err(|e| LinkError::Random(e.to_string()))?;
         let now = time_since_boot();
-        // A second's worth may go at once: a start, or a zone that goes, is a burst.
-        let out = TokenBucket::new(
-            set.max_send_bytes_per_s,
-            set.max_send_bytes_per_s.max(4 * MAX_DATAGRAM_BYTES as u64),
+        // The burst is one second's worth, because a start and the loss of a zone cause many datagrams at once.
+        let send_bucket = TokenBucket::new(
+            settings.max_send_bytes_per_s,
+            settings.max_send_bytes_per_s.max(4 * MAX_DATAGRAM_BYTES as u64),
+            now,
+        );
+        let receive_bucket = TokenBucket::new(
+            settings.max_receive_datagrams_per_s,
+            settings.max_receive_datagrams_per_s.max(64),
             now,
         );
-        let inward =
-            TokenBucket::new(set.max_receive_datagrams_per_s, set.max_receive_datagrams_per_s.max(64), now);
         Ok(Link {
             socket: Rc::new(socket),
-            peers: Peers::new(set.member, keys, seed, now),
-            key_file: set.key_file,
-            out,
-            inward,
+            peers: Peers::new(settings.member, keys, seed, now),
+            key_file: settings.key_file,
+            send_bucket,
+            receive_bucket,
             dropped: DropCounters::default(),
             events: Vec::new(),
-            letters: Vec::new(),
+            messages: Vec::new(),
             buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
         })
     }
 
-    /// The socket, for the event loop to watch for reading, by level.
+    /// The socket, which the event loop has to watch for readability, level-triggered.
     pub fn socket(&self) -> Rc<UdpSocket> {
         self.socket.clone()
     }
 
-    /// Takes some of what has come.
+    /// Reads and processes a bounded number of the received datagrams.
     pub fn on_readable(&mut self) {
         let now = time_since_boot();
-        for _ in 0..READ_AT_ONCE {
-            let n = match self.socket.recv_from(&mut self.buffer) {
-                Ok((n, _)) => n,
+        for _ in 0..MAX_DATAGRAMS_PER_READ {
+            let length = match self.socket.recv_from(&mut self.buffer) {
+                Ok((length, _)) => length,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                // A peer that is gone may show as an error here; the next call reads on.
+                // An earlier send to a peer that no longer listens may be reported as an error here; the next call
+                // continues to read.
                 Err(_) => break,
             };
-            if self.inward.try_take(now, 1) {
-                // What is dropped is counted there.
-                let _ = self.peers.handle(now, Input::Datagram(&self.buffer[..n]));
+            if self.receive_bucket.try_take(now, 1) {
+                // A rejected datagram is counted by `Peers`.
+                let _ = self.peers.handle(now, Input::Datagram(&self.buffer[..length]));
             } else {
                 self.dropped.over_receive_rate += 1;
             }
@@ -174,7 +180,7 @@
         self.flush(now);
     }
 
-    /// Does what is due.
+    /// Runs the protocol's timers if any of them is due.
     pub fn run_due_timers(&mut self) {
         let now = time_since_boot();
         if self.peers.next_timeout() <= now {
@@ -183,37 +189,38 @@
         }
     }
 
-    /// When [`Link::run_due_timers`] is due.
+    /// The time at which [`Link::run_due_timers`] has to be called next.
     pub fn next_wake(&self) -> Instant {
-        let left = self.peers.next_timeout() - time_since_boot();
-        Instant::now() + Duration::from_micros(left.0.max(0) as u64)
+        let remaining = self.peers.next_timeout() - time_since_boot();
+        Instant::now() + Duration::from_micros(remaining.0.max(0) as u64)
     }
 
-    /// Tells peers that this process ends.
+    /// Notifies peers that this process ends.
     pub fn leave(&mut self) {
         let now = time_since_boot();
         let _ = self.peers.handle(now, Input::Leave);
         self.flush(now);
     }
 
-    /// What has happened since the last call.
+    /// Removes and returns the membership events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Letters that have come since the last call, with the lives of who wrote them.
+    /// Removes and returns the messages received since the last call, each with the life of its sender.
     pub fn take_messages(&mut self) -> Vec<(u64, Vec<u8>)> {
-        std::mem::take(&mut self.letters)
+        std::mem::take(&mut self.messages)
     }
 
-    /// Sends a letter to a member, by its life. `false`: no such member is known.
-    pub fn send_message(&mut self, life: u64, letter: &[u8]) -> bool {
-        let sent = self.peers.send_message(life, letter);
+    /// Sends a message to the member with this life. Returns `false` if no such member is known or the message is
+    /// too long.
+    pub fn send_message(&mut self, life: u64, message: &[u8]) -> bool {
+        let sent = self.peers.send_message(life, message);
         self.flush(time_since_boot());
         sent
     }
 
-    /// Reads the key file again; on an error the keys before stay in force.
+    /// Reads the key file again. On an error the previous keys stay in force.
     pub fn reload_keys(&mut self) -> Result<(), LinkError> {
         if let Some(path) = &self.key_file {
             self.peers.replace_keys(read_keys(path)?);
@@ -221,53 +228,54 @@
         Ok(())
     }
 
-    /// Tells all members something that is so old already; an empty value takes it back. `false`: there is no room.
+    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws the fact.
+    /// Returns `false` if there is no room for it.
     pub fn publish(&mut self, key: &[u8], value: &[u8], age: Duration) -> bool {
         let age = Micros(age.as_micros().min(i64::MAX as u128) as i64);
         self.peers.publish(time_since_boot(), key, value, age)
     }
 
-    /// What all members say, none older than the bound.
+    /// The facts published by all members, except those older than the bound on their age.
     pub fn facts(&self) -> impl Iterator<Item = garnettally_peers::Fact<'_>> {
         self.peers.facts(time_since_boot())
     }
 
-    /// Grows with each fact that is new here.
+    /// A counter that increases with each fact that is stored or updated here.
     pub fn facts_version(&self) -> u64 {
         self.peers.facts_version()
     }
 
-    /// How many facts are held.
+    /// The number of facts stored here.
     pub fn fact_count(&self) -> usize {
         self.peers.fact_count()
     }
 
-    /// This member.
+    /// The identity of this member.
     pub fn own_identity(&self) -> &Identity {
         self.peers.own_identity()
     }
 
-    /// The others, dead ones included for a time.
+    /// The other members and their states. Dead members are included until they are forgotten.
     pub fn other_members(&self) -> impl Iterator<Item = (&Identity, MemberState)> {
         self.peers.other_members()
     }
 
-    /// Members taken to be alive, this one included.
+    /// The number of members believed to be alive, this one included.
     pub fn alive_count(&self) -> u32 {
         self.peers.alive_count()
     }
 
-    /// How large the fleet is taken to be.
+    /// The assumed size of the fleet, in members; see [`Peers::fleet_size`].
     pub fn fleet_size(&self) -> u32 {
         self.peers.fleet_size(time_since_boot())
     }
 
-    /// Counts since the start.
+    /// The protocol's counters since the start.
     pub fn counters(&self) -> Counters {
         self.peers.counters()
     }
 
-    /// What the link itself dropped.
+    /// The datagrams that the link itself dropped since it was opened.
     pub fn dropped(&self) -> DropCounters {
         self.dropped
     }
@@ -275,13 +283,14 @@
     fn flush(&mut self, now: Micros) {
         while let Some(output) = self.peers.poll() {
             match output {
-                Output::Event(e) => self.events.push(e),
-                Output::Message(from, letter) => self.letters.push((from, letter)),
+                Output::Event(event) => self.events.push(event),
+                Output::Message(from, message) => self.messages.push((from, message)),
                 Output::Send(to, data) => {
-                    if !self.out.try_take(now, data.len() as u64) {
+                    if !self.send_bucket.try_take(now, data.len() as u64) {
                         self.dropped.over_send_rate += 1;
                     } else if self.socket.send_to(&data, to).is_err() {
-                        // Nobody there, or no room in the kernel: links lose datagrams, and nothing here waits.
+                        // Nobody listens at the address, or the kernel's buffer is full. The protocol tolerates lost
+                        // datagrams, so the send is not retried.
                         self.dropped.send_failed += 1;
                     }
                 }
@@ -293,8 +302,8 @@
 fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
-    // As much as the system allows; less is slower, not wrong.
-    let _ = socket.set_recv_buffer_size(SOCKET_BUFFER);
+    // The system may grant a smaller buffer: more datagrams are then lost, which the protocol tolerates.
+    let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     socket.bind(&address.into())?;
     Ok(socket.into())
 }
--- a/crates/peers/src/facts_tests.rs
+++ b/crates/peers/src/facts_tests.rs
@@ -3,63 +3,63 @@
 use super::*;
 use proptest::prelude::*;
 
-const AGE: Micros = Micros(10_000_000);
+const MAX_AGE: Micros = Micros(10_000_000);
 
-fn values(f: &Facts, now: i64) -> Vec<(u64, Vec<u8>, i64)> {
-    f.iter(Micros(now)).map(|f| (f.origin, f.value.to_vec(), f.age.0)).collect()
+fn values(facts: &Facts, now: i64) -> Vec<(u64, Vec<u8>, i64)> {
+    facts.iter(Micros(now)).map(|fact| (fact.origin, fact.value.to_vec(), fact.age.0)).collect()
 }
 
 #[test]
-fn a_fact_ages_on_its_way_and_ends() {
-    let (mut a, mut b) = (Facts::new(1, AGE, 10), Facts::new(2, AGE, 10));
+fn a_fact_ages_in_transit_and_expires() {
+    let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10), Facts::new(2, MAX_AGE, 10));
     assert!(a.publish(Micros(0), b"k", b"bad", Micros(500_000)));
-    // Sent 1 s later to one whose clock reads something else, and whose question was 300 ms under way and back.
+    // The page is sent 1 s later to a member whose clock differs, and 300 ms pass between its request and the answer.
     let page = a.page(Micros(1_000_000), 0, 1000);
-    assert_eq!(b.take_page(Micros(77_300_000), Micros(77_000_000), &page.bytes), Some(0));
+    assert_eq!(b.apply_page(Micros(77_300_000), Micros(77_000_000), &page.bytes), Some(0));
     assert_eq!(values(&b, 77_300_000), [(1, b"bad".to_vec(), 1_800_000)]);
     assert_eq!(values(&b, 85_499_999).len(), 1);
     assert_eq!(values(&b, 85_500_000), []);
     b.expire(Micros(85_500_000));
-    assert!(b.len() == 0 && b.by_seq.is_empty() && b.count.is_empty());
+    assert!(b.len() == 0 && b.by_seq.is_empty() && b.count_by_origin.is_empty());
 }
 
 #[test]
-fn the_newer_version_wins_in_any_order_and_pages_tell_only_what_is_new() {
-    let (mut a, mut b) = (Facts::new(1, AGE, 10), Facts::new(2, AGE, 10));
+fn the_newer_version_wins_in_any_order_and_pages_contain_only_changes() {
+    let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10), Facts::new(2, MAX_AGE, 10));
     a.publish(Micros(0), b"k", b"bad", Micros(0));
     let old = a.page(Micros(0), 0, 1000);
     a.publish(Micros(10), b"k", b"", Micros(0));
     let new = a.page(Micros(10), old.cursor, 1000);
     for bytes in [&new.bytes, &old.bytes, &new.bytes] {
-        b.take_page(Micros(20), Micros(20), bytes);
+        b.apply_page(Micros(20), Micros(20), bytes);
     }
     assert_eq!(values(&b, 20)[0].1, b"");
     assert_eq!(a.page(Micros(20), new.cursor, 1000).bytes, b"");
 }
 
-/// Guards against a value that ended here and, elsewhere, looks young again because its key was said anew.
+/// Guards against a value that has expired here and looks recent again elsewhere because its key was published again.
 #[test]
-fn a_key_said_again_after_its_end_is_a_later_version() {
-    let (mut a, mut b) = (Facts::new(1, AGE, 10), Facts::new(2, AGE, 10));
+fn a_key_published_again_after_expiry_has_a_later_version() {
+    let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10), Facts::new(2, MAX_AGE, 10));
     a.publish(Micros(0), b"k", b"old", Micros(0));
-    b.take_page(Micros(0), Micros(0), &a.page(Micros(0), 0, 1000).bytes);
-    a.expire(AGE);
-    a.publish(AGE, b"k", b"new", Micros(0));
-    b.take_page(AGE, AGE, &a.page(AGE, 0, 1000).bytes);
-    assert_eq!(values(&b, AGE.0), [(1, b"new".to_vec(), 0)]);
+    b.apply_page(Micros(0), Micros(0), &a.page(Micros(0), 0, 1000).bytes);
+    a.expire(MAX_AGE);
+    a.publish(MAX_AGE, b"k", b"new", Micros(0));
+    b.apply_page(MAX_AGE, MAX_AGE, &a.page(MAX_AGE, 0, 1000).bytes);
+    assert_eq!(values(&b, MAX_AGE.0), [(1, b"new".to_vec(), 0)]);
 }
 
-/// 2,000 at once when a zone goes: none is lost for want of room in one datagram.
+/// When a zone fails, 2,000 facts may be published at once; none is lost because it does not fit into one datagram.
 #[test]
-fn many_facts_come_over_in_pages() {
-    let (mut a, mut b) = (Facts::new(1, AGE, 10_000), Facts::new(2, AGE, 10_000));
+fn many_facts_are_transferred_in_pages() {
+    let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10_000), Facts::new(2, MAX_AGE, 10_000));
     for i in 0..2_000u32 {
         assert!(a.publish(Micros(0), &i.to_be_bytes(), b"unreachable", Micros(0)));
     }
     let (mut cursor, mut pages) = (0, 0);
     loop {
         let page = a.page(Micros(0), cursor, crate::seal::MAX_BODY_BYTES - 17);
-        b.take_page(Micros(0), Micros(0), &page.bytes);
+        b.apply_page(Micros(0), Micros(0), &page.bytes);
         (cursor, pages) = (page.cursor, pages + 1);
         if !page.more {
             break;
@@ -69,66 +69,66 @@
     assert!(pages <= 70, "{pages}");
 }
 
-/// A member that floods its peers takes a quarter of the room and leaves the rest.
+/// A member that floods its peers with facts occupies at most a quarter of the room.
 #[test]
-fn one_member_does_not_crowd_out_the_others() {
-    let (mut liar, mut good, mut b) =
-        (Facts::new(1, AGE, 1000), Facts::new(3, AGE, 40), Facts::new(2, AGE, 40));
+fn one_member_does_not_displace_the_facts_of_others() {
+    let (mut flooding, mut regular, mut b) =
+        (Facts::new(1, MAX_AGE, 1000), Facts::new(3, MAX_AGE, 40), Facts::new(2, MAX_AGE, 40));
     for i in 0..200u32 {
-        liar.publish(Micros(0), &i.to_be_bytes(), b"x", Micros(0));
+        flooding.publish(Micros(0), &i.to_be_bytes(), b"x", Micros(0));
     }
-    good.publish(Micros(0), b"k", b"x", Micros(0));
-    let over = b.take_page(Micros(0), Micros(0), &liar.page(Micros(0), 0, 1 << 16).bytes);
-    assert_eq!(over, Some(190));
-    assert_eq!(b.take_page(Micros(0), Micros(0), &good.page(Micros(0), 0, 1000).bytes), Some(0));
+    regular.publish(Micros(0), b"k", b"x", Micros(0));
+    let rejected = b.apply_page(Micros(0), Micros(0), &flooding.page(Micros(0), 0, 1 << 16).bytes);
+    assert_eq!(rejected, Some(190));
+    assert_eq!(b.apply_page(Micros(0), Micros(0), &regular.page(Micros(0), 0, 1000).bytes), Some(0));
     assert_eq!(b.len(), 11);
 }
 
-/// Hands a fact on from member to member, each answer some time under way, and gives the age that the last one
-/// sees and the true one. A mutant takes an answer for as young as it says it is.
-fn handed_on(holds: &[(i64, i64)], mutant: bool) -> Option<(i64, i64)> {
-    let mut from = Facts::new(1, AGE, 10);
+/// Passes a fact from member to member, with a delay before each request and one between request and answer, and
+/// returns the age that the last member computes and the true age. The mutant ignores the time in transit.
+fn pass_along(delays: &[(i64, i64)], mutant: bool) -> Option<(i64, i64)> {
+    let mut from = Facts::new(1, MAX_AGE, 10);
     from.publish(Micros(0), b"k", b"x", Micros(0));
     let mut now = 0;
-    for (i, &(hold, transit)) in holds.iter().enumerate() {
-        now += hold;
+    for (i, &(wait, transit)) in delays.iter().enumerate() {
+        now += wait;
         let page = from.page(Micros(now), 0, 1000);
-        let asked = now;
+        let requested_at = now;
         now += transit;
-        let mut to = Facts::new(2 + i as u64, AGE, 10);
-        to.take_page(Micros(now), Micros(if mutant { now } else { asked }), &page.bytes);
+        let mut to = Facts::new(2 + i as u64, MAX_AGE, 10);
+        to.apply_page(Micros(now), Micros(if mutant { now } else { requested_at }), &page.bytes);
         from = to;
     }
     let age = from.iter(Micros(now)).next()?.age.0;
     Some((age, now))
 }
 
-/// **The** invariant: no age is smaller than the true one.
-fn not_too_young((seen, truth): (i64, i64)) -> bool {
-    seen >= truth
+/// The central invariant of facts: no computed age is smaller than the true one.
+fn age_is_not_too_small((computed, true_age): (i64, i64)) -> bool {
+    computed >= true_age
 }
 
-/// The check above has to be able to fail.
+/// Shows that the check of the invariant above can fail.
 #[test]
-fn a_mutant_that_forgets_the_time_under_way_is_caught() {
-    let holds = [(100_000, 3_000_000), (0, 2_000_000)];
-    assert!(not_too_young(handed_on(&holds, false).unwrap()));
-    assert!(!not_too_young(handed_on(&holds, true).unwrap()));
+fn a_mutant_that_ignores_the_time_in_transit_violates_the_invariant() {
+    let delays = [(100_000, 3_000_000), (0, 2_000_000)];
+    assert!(age_is_not_too_small(pass_along(&delays, false).unwrap()));
+    assert!(!age_is_not_too_small(pass_along(&delays, true).unwrap()));
 }
 
 proptest! {
     #[test]
-    fn no_age_is_ever_too_small(holds in proptest::collection::vec((0i64..2_000_000, 0i64..2_000_000), 1..8)) {
-        if let Some(ages) = handed_on(&holds, false) {
-            prop_assert!(not_too_young(ages), "{ages:?}");
+    fn no_age_is_smaller_than_the_true_age(delays in proptest::collection::vec((0i64..2_000_000, 0i64..2_000_000), 1..8)) {
+        if let Some(ages) = pass_along(&delays, false) {
+            prop_assert!(age_is_not_too_small(ages), "{ages:?}");
         }
     }
 
-    /// Whatever comes is taken or refused; nothing panics, and bounds hold.
+    /// Arbitrary input bytes are either stored or refused without a panic, and the bounds hold.
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut b = Facts::new(2, AGE, 4);
-        b.take_page(Micros(5), Micros(3), &bytes);
+    fn arbitrary_pages_neither_panic_nor_exceed_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let mut b = Facts::new(2, MAX_AGE, 4);
+        b.apply_page(Micros(5), Micros(3), &bytes);
         prop_assert!(b.len() <= 4);
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,8 +1,10 @@
-//! Who is alive among the balancers of a fleet, and what they tell each other (docs/design/fleet.md).
+//! The membership protocol of a fleet of balancers, and the exchange of facts and messages between its members
+//! (docs/design/fleet.md).
 //!
-//! [`Peers`] is the whole protocol without sockets and without a clock: the caller hands in datagrams and the time
-//! ([`Peers::handle`]), fetches what is to be sent and what has happened ([`Peers::poll`]), and wakes it when
-//! [`Peers::next_timeout`] says. Membership is SWIM by `foca`; facts go by asking, so that their age is known.
+//! [`Peers`] implements the whole protocol without sockets and without a clock: the caller passes in datagrams and the
+//! time ([`Peers::handle`]), fetches datagrams to send and events ([`Peers::poll`]), and passes [`Input::Wake`] at
+//! [`Peers::next_timeout`]. Membership is SWIM as implemented by `foca`. Facts are pulled rather than pushed, so that
+//! the receiver has a bound on their age.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,49 +26,49 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use seal::{number, Kind, Sealer, MAX_BODY_BYTES};
+use seal::{read_u64, Kind, Sealer, MAX_BODY_BYTES};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 use swim::{micros, Swim};
 
-/// What a member is, and the times and bounds that it keeps.
+/// The identity of a member, and the times and bounds of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The member's name; at most [`MAX_NAME_BYTES`] long.
     pub name: String,
-    /// Its zone; may be empty.
+    /// The member's zone; may be empty.
     pub zone: String,
-    /// Where peers send to.
+    /// The address to which peers send datagrams.
     pub address: SocketAddr,
-    /// Addresses that are asked to be let in by, for as long as they are no members.
+    /// The addresses to which this member announces itself for as long as they belong to no live member.
     pub seeds: Vec<SocketAddr>,
-    /// A random member is probed this often.
+    /// The interval at which this member probes another, random member.
     pub probe_period: Duration,
-    /// A member that did not answer is declared dead after this, unless it objects.
+    /// The time after which a member that did not answer a probe is declared dead, unless it refutes.
     pub suspicion_timeout: Duration,
-    /// A dead member is forgotten after this.
+    /// The time after which a dead member is forgotten.
     pub forget_after: Duration,
-    /// Some peers are asked for what is new this often.
+    /// The average interval at which this member pulls changed facts from some peers.
     pub ask_every: Duration,
-    /// How many, beside one by chance.
+    /// The number of fixed peers from which this member pulls facts; a random one is added to them.
     pub ask_peers: usize,
-    /// An answer counts for so long after its question.
+    /// The time for which the answer to a pull is accepted.
     pub ask_timeout: Duration,
-    /// Facts end when they are so old: the bound on how stale anything is.
+    /// The age at which facts expire, which bounds the staleness of all information from peers.
     pub max_age: Duration,
-    /// Facts that are held.
+    /// The maximum number of stored facts.
     pub max_facts: usize,
-    /// Members that are known, dead ones included.
+    /// The maximum number of known members, dead ones included.
     pub max_members: usize,
-    /// The fleet is taken to be no smaller than this,
+    /// The lower bound on the assumed size of the fleet, in members.
     pub size_floor: u32,
-    /// nor smaller than it was within this.
+    /// The time for which the assumed size of the fleet does not fall below an earlier size.
     pub size_hold: Duration,
 }
 
 impl Settings {
-    /// A member with the default times and bounds.
+    /// Creates the settings of a member with the default times and bounds.
     pub fn new(name: &str, zone: &str, address: SocketAddr) -> Settings {
         Settings {
             name: name.into(),
@@ -88,128 +90,134 @@
     }
 }
 
-/// What has happened among the members.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is there.
+    /// A member joined the fleet, or is alive again.
     MemberUp(Identity),
-    /// A member is taken to be dead, or has left.
+    /// A member was declared dead, or has left the fleet.
     MemberDown(Identity),
-    /// At the address of the first, the second is now.
+    /// The first identity was replaced by the second, later one at the same address.
     MemberRenewed(Identity, Identity),
-    /// This member was declared dead and has joined anew, as this.
+    /// This process was declared dead and has joined again under the given identity.
     Rejoined(Identity),
-    /// Two live members have this name.
+    /// Two live members have the same name.
     DuplicateName(Identity, Identity),
 }
 
-/// What the caller is to do.
+/// An action or notification for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send this datagram there.
+    /// The datagram has to be sent to the address.
     Send(SocketAddr, Vec<u8>),
-    /// Take note.
+    /// The membership changed.
     Event(Event),
-    /// A letter has come from this life.
+    /// A message was received from the member with this life.
     Message(u64, Vec<u8>),
 }
 
-/// What the caller hands in.
+/// An input of the protocol, passed in by the caller.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// A datagram has come.
+    /// A datagram was received.
     Datagram(&'a [u8]),
-    /// Time has passed.
+    /// The time of [`Peers::next_timeout`] has come.
     Wake,
-    /// The process ends in good order: peers are told.
+    /// The process shuts down in an orderly way, of which peers are notified.
     Leave,
 }
 
-/// How a member looks from here.
+/// The state of another member as this member sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and may still object.
+    /// The member did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It is taken to be dead.
+    /// The member was declared dead or has left.
     Down,
 }
 
-/// Counts since the start.
+/// Counters of the protocol since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams taken.
+    /// The number of received datagrams that were processed.
     pub accepted: u64,
-    /// Datagrams dropped, by [`RejectReason::index`].
+    /// The numbers of received datagrams that were dropped, by [`RejectReason::index`].
     pub dropped: [u64; RejectReason::ALL.len()],
-    /// Datagrams sent.
+    /// The number of datagrams queued for sending.
     pub sent: u64,
-    /// And their bytes.
+    /// The total size of the datagrams queued for sending.
     pub sent_bytes: u64,
-    /// Facts that there was no room for.
+    /// The number of facts for which there was no room.
     pub facts_rejected: u64,
-    /// How often this process was declared dead and came back.
+    /// The number of times this process was declared dead and joined again.
     pub rejoins: u32,
-    /// How often it noticed that it had stood still.
+    /// The number of times this process detected that it had been stalled.
     pub stalls: u32,
 }
 
-struct Asked {
-    to: u64,
-    at: Micros,
+/// A pull that was sent to the member with this life and awaits its answer.
+struct PendingPull {
+    life: u64,
+    sent_at: Micros,
 }
 
-/// One member of the fleet.
+/// The protocol state of one member of the fleet.
 pub struct Peers {
-    set: Settings,
-    /// There is no key.
+    settings: Settings,
+    /// Whether this member has no key and therefore accepts only loopback addresses.
     loopback_only: bool,
     rng: ChaCha8Rng,
     sealer: Sealer,
     swim: Swim,
     facts: Facts,
-    letters: MessageFragments,
-    /// Questions that are open, by number.
-    asked: FxHashMap<u64, Asked>,
-    next_question: u64,
-    /// Where each life's next page starts.
+    fragments: MessageFragments,
+    /// The pulls that await an answer, by their numbers.
+    pending_pulls: FxHashMap<u64, PendingPull>,
+    last_pull_number: u64,
+    /// The cursor from which the next page of each life's facts starts, by life.
     cursors: FxHashMap<u64, u64>,
-    /// The fixed ones of those that are asked.
+    /// The fixed peers, by life and address, from which this member pulls facts.
     neighbours: Vec<(u64, SocketAddr)>,
-    ask_at: Micros,
-    /// Up to which fact peers were told that there is news, and when they may be told again.
-    hinted: u64,
-    hint_at: Micros,
-    seed_at: Micros,
-    tidy_at: Micros,
-    /// The fleet's size now and then, to hold its largest: times and sizes, falling.
-    sizes: VecDeque<(Micros, u32)>,
-    /// The last datagram that a peer without a token was sent: it goes again once the token is there.
-    unheard: FxHashMap<SocketAddr, (Kind, Vec<u8>)>,
-    reported: Vec<(SocketAddr, SocketAddr)>,
+    next_pull_at: Micros,
+    /// The change count of the facts at which peers were last sent a hint.
+    hinted_change_count: u64,
+    /// The earliest time of the next hint.
+    next_hint_at: Micros,
+    next_seed_at: Micros,
+    next_cleanup_at: Micros,
+    /// Earlier sizes of the fleet with the times until which they were in force, in the order of time. The sizes
+    /// decrease, so that the first is the largest.
+    recent_sizes: VecDeque<(Micros, u32)>,
+    /// The kind and body of the last datagram sent to each address. It is sent again if the peer answers with a
+    /// challenge.
+    last_sent: FxHashMap<SocketAddr, (Kind, Vec<u8>)>,
+    /// The pairs of live members with the same name that were reported.
+    reported_duplicates: Vec<(SocketAddr, SocketAddr)>,
     outputs: VecDeque<Output>,
     counters: Counters,
 }
 
-/// Peers may be told of news so many times between two rounds of questions.
-const HINTS: i64 = 10;
+/// The maximum number of rounds of hints per interval between pulls.
+const HINTS_PER_PULL_INTERVAL: i64 = 10;
 
-/// Outputs that may wait to be fetched; past them datagrams are dropped, as links drop them.
-const OUTPUTS_MOST: usize = 1024;
+/// The number of outputs that may wait to be fetched. Further datagrams are dropped, which the protocol tolerates like
+/// any loss on a link.
+const MAX_QUEUED_OUTPUTS: usize = 1024;
 
 impl Peers {
-    /// A member that has just started. Without keys only loopback addresses are taken. `seed` has to differ at each
-    /// start, and be hard to guess.
-    pub fn new(set: Settings, keys: Option<Keys>, seed: [u8; 32], now: Micros) -> Peers {
+    /// Creates the state of a member that has just started. Without keys, only loopback addresses are accepted. `seed`
+    /// has to be unpredictable and to differ at each start.
+    pub fn new(settings: Settings, keys: Option<Keys>, seed: [u8; 32], now: Micros) -> Peers {
         let mut rng = ChaCha8Rng::from_seed(seed);
         let boot = rng.next_u64().max(1);
         let mut secret = [0; 32];
         rng.fill_bytes(&mut secret);
         let me = Identity {
-            address: set.address,
-            name: set.name.clone(),
-            zone: set.zone.clone(),
+            address: settings.address,
+            name: settings.name.clone(),
+            zone: settings.zone.clone(),
             boot,
             generation: 0,
         };
@@ -217,36 +225,36 @@
         let keys = keys.unwrap_or_else(Keys::well_known);
         let swim_rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
         Peers {
-            sealer: Sealer::new(keys, boot, set.address, secret, set.max_members),
-            swim: Swim::new(me, &set, loopback_only, swim_rng, now),
-            facts: Facts::new(boot, micros(set.max_age), set.max_facts),
-            letters: MessageFragments::default(),
-            asked: FxHashMap::default(),
-            next_question: rng.next_u64(),
+            sealer: Sealer::new(keys, boot, settings.address, secret, settings.max_members),
+            swim: Swim::new(me, &settings, loopback_only, swim_rng, now),
+            facts: Facts::new(boot, micros(settings.max_age), settings.max_facts),
+            fragments: MessageFragments::default(),
+            pending_pulls: FxHashMap::default(),
+            last_pull_number: rng.next_u64(),
             cursors: FxHashMap::default(),
             neighbours: Vec::new(),
-            ask_at: now,
-            hinted: 1,
-            hint_at: now,
-            seed_at: now,
-            tidy_at: now,
-            sizes: VecDeque::new(),
-            unheard: FxHashMap::default(),
-            reported: Vec::new(),
+            next_pull_at: now,
+            hinted_change_count: 1,
+            next_hint_at: now,
+            next_seed_at: now,
+            next_cleanup_at: now,
+            recent_sizes: VecDeque::new(),
+            last_sent: FxHashMap::default(),
+            reported_duplicates: Vec::new(),
             outputs: VecDeque::new(),
             counters: Counters::default(),
             loopback_only,
-            set,
+            settings,
             rng,
         }
     }
 
-    /// Takes what has come. `Err`: the datagram is dropped and counted.
+    /// Processes an input. An `Err` means that the datagram was dropped and counted.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) -> Result<(), RejectReason> {
         let result = match input {
-            Input::Datagram(data) => self.datagram(now, data),
+            Input::Datagram(data) => self.handle_datagram(now, data),
             Input::Wake => {
-                self.wake(now);
+                self.run_due_timers(now);
                 Ok(())
             }
             Input::Leave => {
@@ -258,65 +266,65 @@
             Err(why) => self.counters.dropped[why.index()] += 1,
             Ok(()) => self.counters.accepted += u64::from(matches!(input, Input::Datagram(_))),
         }
-        self.settle(now);
+        self.process_membership_output(now);
         result
     }
 
-    /// The next thing to be done, if there is one.
+    /// Removes and returns the next output, if there is one.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Wake`] is due.
+    /// The time at which [`Input::Wake`] has to be passed in.
     pub fn next_timeout(&self) -> Micros {
-        let mut own = self.ask_at.min(self.seed_at).min(self.tidy_at);
-        if self.facts.version() > self.hinted {
-            own = own.min(self.hint_at);
+        let mut next = self.next_pull_at.min(self.next_seed_at).min(self.next_cleanup_at);
+        if self.facts.change_count() > self.hinted_change_count {
+            next = next.min(self.next_hint_at);
         }
-        self.swim.next_timeout().map_or(own, |at| at.min(own))
+        self.swim.next_timeout().map_or(next, |at| at.min(next))
     }
 
-    /// Tells all members something: it is so old already. An empty value takes back what was said. `false`: there is
-    /// no room for it.
+    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws the previous
+    /// one. Returns `false` if the key or value is too long or there is no room for the fact.
     pub fn publish(&mut self, now: Micros, key: &[u8], value: &[u8], age: Micros) -> bool {
-        let taken = self.facts.publish(now, key, value, age);
-        if taken && now >= self.hint_at {
-            self.hint(now);
+        let is_stored = self.facts.publish(now, key, value, age);
+        if is_stored && now >= self.next_hint_at {
+            self.send_hints(now);
         }
-        self.counters.facts_rejected += u64::from(!taken);
-        taken
+        self.counters.facts_rejected += u64::from(!is_stored);
+        is_stored
     }
 
-    /// Sends a letter to a member that is known, by its life: it comes whole, or not at all. `false`: there is no such member, or
-    /// it is longer than [`MAX_MESSAGE_BYTES`].
-    pub fn send_message(&mut self, life: u64, letter: &[u8]) -> bool {
+    /// Sends a message to the member with this life, which receives either all of it or nothing. Returns `false` if no
+    /// such member is known or the message is longer than [`MAX_MESSAGE_BYTES`].
+    pub fn send_message(&mut self, life: u64, message: &[u8]) -> bool {
         let Some(address) = self.address_of(life) else { return false };
-        let Some(parts) = self.letters.cut(letter, MAX_BODY_BYTES) else { return false };
+        let Some(parts) = self.fragments.split(message, MAX_BODY_BYTES) else { return false };
         parts.iter().for_each(|body| self.send(address, Kind::MessagePart, body));
         true
     }
 
-    /// What holds now: none is older than [`Settings::max_age`].
+    /// The facts of all members, this one included, that are younger than [`Settings::max_age`].
     pub fn facts(&self, now: Micros) -> impl Iterator<Item = Fact<'_>> {
         self.facts.iter(now)
     }
 
-    /// Grows with each fact that is new here.
+    /// A counter that increases with each fact that is stored or updated here.
     pub fn facts_version(&self) -> u64 {
-        self.facts.version()
+        self.facts.change_count()
     }
 
-    /// How many facts are held.
+    /// The number of stored facts, including expired ones that are not yet removed.
     pub fn fact_count(&self) -> usize {
         self.facts.len()
     }
 
-    /// This member.
+    /// The identity of this member.
     pub fn own_identity(&self) -> &Identity {
         self.swim.own_identity()
     }
 
-    /// The others, dead ones included for a time.
+    /// The other members and their states. Dead members are included until they are forgotten.
     pub fn other_members(&self) -> impl Iterator<Item = (&Identity, MemberState)> {
         self.swim.other_members().map(|(id, state)| {
             let state = match state {
@@ -328,71 +336,78 @@
         })
     }
 
-    /// Members taken to be alive, this one included.
+    /// The number of members believed to be alive, this one included.
     pub fn alive_count(&self) -> u32 {
         self.swim.alive_count() as u32 + 1
     }
 
-    /// How large the fleet is taken to be: at the least the floor, and the most that was alive within the hold. Of two
-    /// sides of a cut, neither may believe that it is the whole fleet before its operator would know.
+    /// The assumed size of the fleet: the largest number of members alive within [`Settings::size_hold`], and at least
+    /// [`Settings::size_floor`]. When the network is partitioned, neither side may take itself for the whole fleet before
+    /// its operator can notice the partition.
     pub fn fleet_size(&self, now: Micros) -> u32 {
-        let from = now - micros(self.set.size_hold);
-        let held = self.sizes.iter().filter(|(at, _)| *at >= from).map(|(_, n)| *n).max().unwrap_or(0);
-        held.max(self.alive_count()).max(self.set.size_floor)
+        let from = now - micros(self.settings.size_hold);
+        let largest =
+            self.recent_sizes.iter().filter(|(at, _)| *at >= from).map(|(_, n)| *n).max().unwrap_or(0);
+        largest.max(self.alive_count()).max(self.settings.size_floor)
     }
 
-    /// Counts since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         Counters { rejoins: self.swim.rejoins(), stalls: self.swim.stalls, ..self.counters.clone() }
     }
 
-    /// Other keys from now on.
+    /// Replaces the keys of the fleet.
     pub fn replace_keys(&mut self, keys: Keys) {
         self.sealer.replace_keys(keys);
     }
 
-    fn datagram(&mut self, now: Micros, data: &[u8]) -> Result<(), RejectReason> {
+    fn handle_datagram(&mut self, now: Micros, data: &[u8]) -> Result<(), RejectReason> {
         let opened = self.sealer.open(data)?;
-        let (kind, boot, address, body, fresh) =
-            (opened.kind, opened.boot, opened.address, opened.body, opened.fresh);
-        if !identity::may_be_sent_to(address, self.loopback_only) {
+        let (kind, boot, address, body, has_valid_token) =
+            (opened.kind, opened.boot, opened.address, opened.body, opened.has_valid_token);
+        if !identity::is_allowed_destination(address, self.loopback_only) {
             return Err(RejectReason::Origin);
         }
         if kind == Kind::Challenge {
-            return self.challenged(now, address, body);
+            return self.handle_challenge(now, address, body);
         }
-        if !fresh {
+        if !has_valid_token {
             if seal::may_be_challenged(data) {
-                self.challenge(boot, address);
+                self.send_challenge(boot, address);
             }
             return Err(RejectReason::Token);
         }
         match kind {
-            Kind::Swim if self.swim.take(now, body) => Ok(()),
+            Kind::Swim if self.swim.handle_packet(now, body) => Ok(()),
             Kind::Swim | Kind::Challenge => Err(RejectReason::Malformed),
-            Kind::Pull => self.answer(now, address, body),
-            Kind::Facts => self.learn(now, boot, body),
-            Kind::MessagePart => match self.letters.take(now, boot, body) {
-                Ok(Some(letter)) => {
-                    self.outputs.push_back(Output::Message(boot, letter));
+            Kind::Pull => self.answer_pull(now, address, body),
+            Kind::Facts => self.handle_page(now, boot, body),
+            Kind::MessagePart => match self.fragments.accept_part(now, boot, body) {
+                Ok(Some(message)) => {
+                    self.outputs.push_back(Output::Message(boot, message));
                     Ok(())
                 }
                 Ok(None) => Ok(()),
                 Err(true) => Err(RejectReason::Malformed),
                 Err(false) => Err(RejectReason::Bound),
             },
-            Kind::News => {
-                // One question at a time: a peer that says so all the time gets no more answers by it.
-                if !self.asked.values().any(|a| a.to == boot && now - a.at < micros(self.set.ask_every)) {
-                    self.ask(now, boot, address);
+            Kind::UpdateHint => {
+                // At most one pull per peer and interval, so that a peer that sends hints all the time does not cause
+                // more pulls.
+                if !self
+                    .pending_pulls
+                    .values()
+                    .any(|pull| pull.life == boot && now - pull.sent_at < micros(self.settings.ask_every))
+                {
+                    self.pull_from(now, boot, address);
                 }
                 Ok(())
             }
         }
     }
 
-    /// Tells a sender its token, and what is known of lives before it at its address.
-    fn challenge(&mut self, boot: u64, address: SocketAddr) {
+    /// Sends a sender its token, and the generation of a previous life at its address if one is known.
+    fn send_challenge(&mut self, boot: u64, address: SocketAddr) {
         let token = self.sealer.token_for(boot, address);
         let before = self.swim.other_members().find(|(id, _)| id.address == address && id.boot != boot);
         let generation = before.map_or(u64::MAX, |(id, _)| id.generation);
@@ -401,19 +416,25 @@
         self.send(address, Kind::Challenge, &body);
     }
 
-    /// A peer tells its token. What it was sent without goes again.
-    fn challenged(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), RejectReason> {
+    /// Stores the token from a peer's challenge, and sends the last datagram to that peer again with the token.
+    fn handle_challenge(
+        &mut self,
+        now: Micros,
+        address: SocketAddr,
+        body: &[u8],
+    ) -> Result<(), RejectReason> {
         if body.len() != 16 {
             return Err(RejectReason::Malformed);
         }
-        // Only who was just sent something may say so, and once: a recorded challenge spoils at most one datagram.
-        let (kind, last) = self.unheard.remove(&address).ok_or(RejectReason::Unasked)?;
-        self.sealer.learn_token(address, number(body, 0));
-        let generation = number(body, 8);
+        // A challenge is accepted only from an address to which a datagram was sent, and once per datagram. A replayed
+        // challenge therefore spoils at most one datagram.
+        let (kind, last) = self.last_sent.remove(&address).ok_or(RejectReason::Unasked)?;
+        self.sealer.learn_token(address, read_u64(body, 0));
+        let generation = read_u64(body, 8);
         if generation != u64::MAX {
-            self.swim.outdo(now, generation);
+            self.swim.supersede_generation(now, generation);
             if kind == Kind::Swim {
-                // What was sealed for it names the life before.
+                // The last packet names the superseded identity, so a new announcement is sent instead.
                 self.swim.announce(now, address);
                 return Ok(());
             }
@@ -422,13 +443,13 @@
         Ok(())
     }
 
-    /// Answers a question for what is new.
-    fn answer(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), RejectReason> {
+    /// Answers a pull with a page of changed facts.
+    fn answer_pull(&mut self, now: Micros, address: SocketAddr, body: &[u8]) -> Result<(), RejectReason> {
         if body.len() != 24 {
             return Err(RejectReason::Malformed);
         }
-        // The cursor is one of ours, of this life, or it starts anew.
-        let since = if number(body, 8) == self.own_identity().boot { number(body, 16) } else { 0 };
+        // A cursor that was issued by another life is ignored, and the pages start from the beginning.
+        let since = if read_u64(body, 8) == self.own_identity().boot { read_u64(body, 16) } else { 0 };
         let page = self.facts.page(now, since, MAX_BODY_BYTES - 17);
         let mut answer = body[..8].to_vec();
         answer.extend(page.cursor.to_be_bytes());
@@ -438,21 +459,22 @@
         Ok(())
     }
 
-    fn learn(&mut self, now: Micros, boot: u64, body: &[u8]) -> Result<(), RejectReason> {
+    fn handle_page(&mut self, now: Micros, boot: u64, body: &[u8]) -> Result<(), RejectReason> {
         if body.len() < 17 {
             return Err(RejectReason::Malformed);
         }
-        let question = number(body, 0);
-        let asked = self.asked.remove(&question).ok_or(RejectReason::Unasked)?;
-        if asked.to != boot || now - asked.at > micros(self.set.ask_timeout) {
+        let pull_number = read_u64(body, 0);
+        let pull = self.pending_pulls.remove(&pull_number).ok_or(RejectReason::Unasked)?;
+        if pull.life != boot || now - pull.sent_at > micros(self.settings.ask_timeout) {
             return Err(RejectReason::Unasked);
         }
-        let over = self.facts.take_page(now, asked.at, &body[17..]).ok_or(RejectReason::Malformed)?;
-        self.counters.facts_rejected += over as u64;
-        self.cursors.insert(boot, number(body, 8));
+        let rejected =
+            self.facts.apply_page(now, pull.sent_at, &body[17..]).ok_or(RejectReason::Malformed)?;
+        self.counters.facts_rejected += rejected as u64;
+        self.cursors.insert(boot, read_u64(body, 8));
         if body[16] != 0 {
             if let Some(address) = self.address_of(boot) {
-                self.ask(now, boot, address);
+                self.pull_from(now, boot, address);
             }
         }
         Ok(())
@@ -462,28 +484,28 @@
         self.swim.other_members().find(|(id, _)| id.boot == boot).map(|(id, _)| id.address)
     }
 
-    /// Asks a member for what is new.
-    fn ask(&mut self, now: Micros, boot: u64, address: SocketAddr) {
-        if self.asked.len() >= 4 * (self.set.ask_peers + 1) + 16 {
+    /// Requests the facts that changed since the last page from a member.
+    fn pull_from(&mut self, now: Micros, boot: u64, address: SocketAddr) {
+        if self.pending_pulls.len() >= 4 * (self.settings.ask_peers + 1) + 16 {
             return;
         }
-        self.next_question = self.next_question.wrapping_add(1);
-        self.asked.insert(self.next_question, Asked { to: boot, at: now });
-        let mut body = self.next_question.to_be_bytes().to_vec();
+        self.last_pull_number = self.last_pull_number.wrapping_add(1);
+        self.pending_pulls.insert(self.last_pull_number, PendingPull { life: boot, sent_at: now });
+        let mut body = self.last_pull_number.to_be_bytes().to_vec();
         body.extend(boot.to_be_bytes());
         body.extend(self.cursors.get(&boot).copied().unwrap_or(0).to_be_bytes());
         self.send(address, Kind::Pull, &body);
     }
 
     fn send(&mut self, to: SocketAddr, kind: Kind, body: &[u8]) {
-        if self.outputs.len() >= OUTPUTS_MOST {
+        if self.outputs.len() >= MAX_QUEUED_OUTPUTS {
             return;
         }
         if kind != Kind::Challenge {
-            if self.unheard.len() >= self.set.max_members && !self.unheard.contains_key(&to) {
-                self.unheard.clear();
+            if self.last_sent.len() >= self.settings.max_members && !self.last_sent.contains_key(&to) {
+                self.last_sent.clear();
             }
-            self.unheard.insert(to, (kind, body.to_vec()));
+            self.last_sent.insert(to, (kind, body.to_vec()));
         }
         let datagram = self.sealer.seal(to, kind, body);
         self.counters.sent += 1;
@@ -491,69 +513,71 @@
         self.outputs.push_back(Output::Send(to, datagram));
     }
 
-    fn wake(&mut self, now: Micros) {
-        self.swim.wake(now);
-        if now >= self.seed_at {
-            // With jitter: a fleet that starts at once must not ask its seeds in one moment again and again.
-            let period = micros(self.set.probe_period * 2);
-            self.seed_at = now + Micros(self.rng.random_range(period.0 / 2..=period.0.max(1)));
+    fn run_due_timers(&mut self, now: Micros) {
+        self.swim.run_due_timers(now);
+        if now >= self.next_seed_at {
+            // The jitter keeps the members of a fleet that started at the same time from contacting the seeds at the same
+            // moment again and again.
+            let period = micros(self.settings.probe_period * 2);
+            self.next_seed_at = now + Micros(self.rng.random_range(period.0 / 2..=period.0.max(1)));
             let members: Vec<SocketAddr> = self
                 .other_members()
                 .filter(|(_, s)| *s != MemberState::Down)
                 .map(|(id, _)| id.address)
                 .collect();
-            for seed in self.set.seeds.clone() {
+            for seed in self.settings.seeds.clone() {
                 if seed != self.own_identity().address && !members.contains(&seed) {
                     self.swim.announce(now, seed);
                 }
             }
         }
-        if now >= self.ask_at {
-            let every = micros(self.set.ask_every).0.max(1);
-            self.ask_at = now + Micros(self.rng.random_range(every * 9 / 10..=every * 11 / 10));
-            let late = micros(self.set.ask_timeout);
-            self.asked.retain(|_, a| now - a.at <= late);
+        if now >= self.next_pull_at {
+            let every = micros(self.settings.ask_every).0.max(1);
+            self.next_pull_at = now + Micros(self.rng.random_range(every * 9 / 10..=every * 11 / 10));
+            let timeout = micros(self.settings.ask_timeout);
+            self.pending_pulls.retain(|_, pull| now - pull.sent_at <= timeout);
             self.facts.expire(now);
-            for (boot, address) in self.asked_next() {
-                self.ask(now, boot, address);
+            for (boot, address) in self.next_pull_targets() {
+                self.pull_from(now, boot, address);
             }
         }
-        if now >= self.hint_at && self.facts.version() > self.hinted {
-            self.hint(now);
+        if now >= self.next_hint_at && self.facts.change_count() > self.hinted_change_count {
+            self.send_hints(now);
         }
-        if now >= self.tidy_at {
-            self.tidy_at = now + micros(self.set.probe_period);
-            self.letters.expire(now);
-            for address in self.swim.tidy() {
-                self.sealer.forget(address);
-                self.unheard.remove(&address);
+        if now >= self.next_cleanup_at {
+            self.next_cleanup_at = now + micros(self.settings.probe_period);
+            self.fragments.expire(now);
+            for address in self.swim.forget_removed_addresses() {
+                self.sealer.forget_token(address);
+                self.last_sent.remove(&address);
             }
             let lives: Vec<u64> = self.swim.other_members().map(|(id, _)| id.boot).collect();
             self.cursors.retain(|boot, _| lives.contains(boot));
         }
     }
 
-    /// Tells some peers, by chance, that there is news. They ask for it: so its age stays a bound.
-    fn hint(&mut self, now: Micros) {
-        self.hinted = self.facts.version();
-        // Many facts at once are one hint.
-        self.hint_at = now + Micros(micros(self.set.ask_every).0 / HINTS);
+    /// Notifies some random peers that facts have changed. They pull the facts, so that the bound on the ages holds.
+    fn send_hints(&mut self, now: Micros) {
+        self.hinted_change_count = self.facts.change_count();
+        // Facts published in quick succession are announced by one hint.
+        self.next_hint_at = now + Micros(micros(self.settings.ask_every).0 / HINTS_PER_PULL_INTERVAL);
         let mut live: Vec<SocketAddr> = self
             .swim
             .other_members()
             .filter(|(_, s)| *s == foca::State::Alive)
             .map(|(id, _)| id.address)
             .collect();
-        for _ in 0..=self.set.ask_peers {
+        for _ in 0..=self.settings.ask_peers {
             if !live.is_empty() {
                 let to = live.swap_remove(self.rng.random_range(0..live.len()));
-                self.send(to, Kind::News, &[0; 24]);
+                self.send(to, Kind::UpdateHint, &[0; 24]);
             }
         }
     }
 
-    /// The neighbours and one by chance: they spread the news along fixed ways, it heals what these miss.
-    fn asked_next(&mut self) -> Vec<(u64, SocketAddr)> {
+    /// The peers to pull from next: the neighbours, which spread facts along fixed paths, and a random peer, which
+    /// reaches what these paths miss.
+    fn next_pull_targets(&mut self) -> Vec<(u64, SocketAddr)> {
         let live: Vec<(u64, SocketAddr)> = self
             .swim
             .other_members()
@@ -570,15 +594,16 @@
         next
     }
 
-    /// After each step: what `foca` wants sent, what has happened, and what follows from it.
-    fn settle(&mut self, now: Micros) {
+    /// Queues the packets and events that `foca` produced, and updates the state that depends on the membership. It runs
+    /// after each input.
+    fn process_membership_output(&mut self, now: Micros) {
         while let Some((to, body)) = self.swim.next_send() {
             self.send(to, Kind::Swim, &body);
         }
         for event in self.swim.take_events() {
             self.outputs.push_back(Output::Event(event));
         }
-        if !self.swim.take_changed() {
+        if !self.swim.take_membership_changed() {
             return;
         }
         let me = self.own_identity().boot;
@@ -589,29 +614,29 @@
             .map(|(id, _)| (rendezvous_hash(me, id.boot), id.boot, id.address))
             .collect();
         live.sort_unstable();
-        live.truncate(self.set.ask_peers);
+        live.truncate(self.settings.ask_peers);
         self.neighbours = live.into_iter().map(|(_, boot, address)| (boot, address)).collect();
-        self.report_same_names();
-        self.note_size(now);
+        self.report_duplicate_names();
+        self.record_size(now);
     }
 
-    fn note_size(&mut self, now: Micros) {
-        let n = self.alive_count();
-        let from = now - micros(self.set.size_hold);
-        // A size was in force until this moment, however long ago it was noted: it is held from now on.
-        if let Some(last) = self.sizes.back_mut() {
+    fn record_size(&mut self, now: Micros) {
+        let size = self.alive_count();
+        let from = now - micros(self.settings.size_hold);
+        // The previous size was in force until now, however long ago it was recorded, so it is held from now on.
+        if let Some(last) = self.recent_sizes.back_mut() {
             last.0 = now;
         }
-        while self.sizes.front().is_some_and(|(at, _)| *at < from) {
-            self.sizes.pop_front();
+        while self.recent_sizes.front().is_some_and(|(at, _)| *at < from) {
+            self.recent_sizes.pop_front();
         }
-        while self.sizes.back().is_some_and(|(_, m)| *m <= n) {
-            self.sizes.pop_back();
+        while self.recent_sizes.back().is_some_and(|(_, earlier)| *earlier <= size) {
+            self.recent_sizes.pop_back();
         }
-        self.sizes.push_back((now, n));
+        self.recent_sizes.push_back((now, size));
     }
 
-    fn report_same_names(&mut self) {
+    fn report_duplicate_names(&mut self) {
         let mut live: Vec<&Identity> =
             self.swim.other_members().filter(|(_, s)| *s != foca::State::Down).map(|(id, _)| id).collect();
         live.push(self.swim.own_identity());
@@ -623,18 +648,19 @@
             .collect();
         let now: Vec<(SocketAddr, SocketAddr)> = pairs.iter().map(|(a, b)| (a.address, b.address)).collect();
         for (a, b) in pairs {
-            if !self.reported.contains(&(a.address, b.address)) {
+            if !self.reported_duplicates.contains(&(a.address, b.address)) {
                 self.outputs.push_back(Output::Event(Event::DuplicateName(a, b)));
             }
         }
-        self.reported = now;
+        self.reported_duplicates = now;
     }
 }
 
-/// A number that any member computes alike for a pair: the order in which the second serves the first.
+/// Hashes a pair of lives to a number that is the same on all members. Sorted by it, the values of `other` are in the
+/// order in which they are chosen to serve `one`.
 pub fn rendezvous_hash(one: u64, other: u64) -> u64 {
-    let mut h = blake3::Hasher::new();
-    h.update(&one.to_be_bytes());
-    h.update(&other.to_be_bytes());
-    number(h.finalize().as_bytes(), 0)
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(&one.to_be_bytes());
+    hasher.update(&other.to_be_bytes());
+    read_u64(hasher.finalize().as_bytes(), 0)
 }
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -1,79 +1,80 @@
 //! The envelope of every datagram: version, sender, replay protection and a keyed MAC.
 //!
-//! A sender proves with each datagram that it talks to this very process now: it repeats a token that the receiver
-//! gave it. The token is a keyed hash under a secret of the receiver's life, so that nothing has to be kept to check
-//! it, and nothing that was recorded before the receiver started can be played to it again. Within one life of both, a
-//! window over the sender's counter drops what comes twice.
+//! With each datagram a sender proves that it is addressing this running process: the datagram repeats a token that the
+//! receiver issued to the sender. The token is a keyed hash under a secret that the receiver draws when it starts.
+//! Checking it therefore needs no stored state, and datagrams recorded before the receiver started can't be replayed
+//! to it. Within one life of both sides, a window over the sender's counter drops repeated datagrams.
 
 use rustc_hash::FxHashMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr, SocketAddrV6};
 use thiserror::Error;
 
-/// The largest datagram, in bytes: fits into one packet on any path in use.
+/// The maximum size of a datagram, in bytes. It fits into one packet on any network path in use.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The version of this format.
+/// The version of the datagram format; datagrams of any other version are rejected.
 pub const FORMAT_VERSION: u8 = 1;
 const MAGIC: u8 = 0x67;
-const HEAD: usize = 4 + 8 + 8 + 8 + 18;
-const MAC: usize = 16;
-/// What a body may hold at most, in bytes.
-pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD - MAC;
-/// A challenge's size: nothing shorter is answered by one, so no answer is larger than what came.
-const CHALLENGE: usize = HEAD + 16 + MAC;
-/// Datagrams of one sender that may overtake each other.
-const WINDOW: u64 = 64;
+const HEADER_BYTES: usize = 4 + 8 + 8 + 8 + 18;
+const MAC_BYTES: usize = 16;
+/// The maximum size of a datagram's body, in bytes.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAC_BYTES;
+/// The size of a challenge. Shorter datagrams are not answered with one, so that no answer is larger than the datagram
+/// that caused it.
+const CHALLENGE_BYTES: usize = HEADER_BYTES + 16 + MAC_BYTES;
+/// The number of most recent datagrams of a sender within which datagrams may arrive out of order.
+const REPLAY_WINDOW: u64 = 64;
 
-/// What a datagram carries.
+/// The type of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// "Say this token from now on": the answer to a datagram without a good one.
+    /// Issues a token to a sender; the answer to a datagram without a valid token.
     Challenge,
-    /// Membership.
+    /// A packet of the membership protocol.
     Swim,
-    /// "Tell me what is new."
+    /// Requests the facts that changed since a cursor.
     Pull,
-    /// What is new.
+    /// A page of changed facts; the answer to a pull.
     Facts,
-    /// "I have news": whoever hears it asks.
-    News,
-    /// A part of a letter.
+    /// Announces that the sender has changed facts, which the receiver then pulls.
+    UpdateHint,
+    /// One part of a message.
     MessagePart,
 }
 
-/// Why a datagram is dropped.
+/// The reason why a datagram is dropped. Metrics and `GET /members` show the names of the variants in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum RejectReason {
-    /// It is cut off, too long, or not one of ours.
+    /// The datagram is truncated, too long, or not of this format.
     #[error("malformed")]
     Malformed,
-    /// Its version is not known here.
+    /// The datagram has a version other than [`FORMAT_VERSION`].
     #[error("of an unknown version")]
     Version,
-    /// It names a key that is not held here.
+    /// The datagram names a key that this process does not have.
     #[error("under an unknown key")]
     Key,
-    /// Its MAC is wrong.
+    /// The MAC of the datagram is wrong.
     #[error("forged")]
     Forged,
-    /// It came before, or long after later ones.
+    /// The datagram was received before, or its counter is too far behind that of later ones to tell.
     #[error("replayed")]
     Replayed,
-    /// It has no good token; its sender was given one.
+    /// The datagram has no valid token; its sender is sent one.
     #[error("without a token")]
     Token,
-    /// It comes from this process, or from an address that is not allowed.
-    #[error("from a place that is not allowed")]
+    /// The datagram comes from this process, or names a sender address that is not allowed.
+    #[error("from an address that is not allowed")]
     Origin,
-    /// It is sound, but nothing asked for it, or it came too late.
+    /// The datagram is valid, but answers no pending request of this process, or answers it too late.
     #[error("not asked for")]
     Unasked,
-    /// It would go over a bound.
+    /// Processing the datagram would exceed a bound on memory.
     #[error("over a bound")]
     Bound,
 }
 
 impl RejectReason {
-    /// All kinds, in the order of [`RejectReason::index`].
+    /// All reasons, in the order of [`RejectReason::index`].
     pub const ALL: [RejectReason; 9] = [
         RejectReason::Malformed,
         RejectReason::Version,
@@ -86,46 +87,46 @@
         RejectReason::Bound,
     ];
 
-    /// Its place among all kinds.
+    /// The position of the reason in [`RejectReason::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// The keys of a fleet: the first seals, each of them opens.
+/// The keys of a fleet, by their numbers. The first key seals datagrams, and any of them opens received ones.
 #[derive(Clone)]
 pub struct Keys(Vec<(u8, [u8; 32])>);
 
-/// What is wrong with a key file.
+/// The problem found in the content of a key file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyFileError {
-    /// This line.
+    /// The line with this number, counted from 1, is malformed.
     #[error("line {0} is not a number from 0 to 255 and 64 hex digits")]
     InvalidLine(usize),
-    /// This number stands for two keys.
+    /// Two keys have this number.
     #[error("two keys have the number {0}")]
     DuplicateNumber(u8),
-    /// There is none.
-    #[error("holds no key")]
+    /// The file contains no key.
+    #[error("contains no key")]
     NoKeys,
-    /// There are too many.
-    #[error("holds more than 8 keys")]
+    /// The file contains more than 8 keys.
+    #[error("contains more than 8 keys")]
     TooManyKeys,
 }
 
 impl Keys {
-    /// Reads lines of a number and 64 hex digits; `#` starts a comment. The first seals.
+    /// Parses lines of a number and 64 hex digits; `#` starts a comment. The key of the first line seals datagrams.
     pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys: Vec<(u8, [u8; 32])> = Vec::new();
-        for (at, line) in text.lines().enumerate() {
+        for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or("").trim();
             if line.is_empty() {
                 continue;
             }
-            let wrong = KeyFileError::InvalidLine(at + 1);
-            let (id, hex) = line.split_once(char::is_whitespace).ok_or(wrong.clone())?;
-            let id: u8 = id.parse().map_err(|_| wrong.clone())?;
-            let key = blake3::Hash::from_hex(hex.trim()).map_err(|_| wrong.clone())?;
+            let malformed = KeyFileError::InvalidLine(index + 1);
+            let (id, hex) = line.split_once(char::is_whitespace).ok_or(malformed.clone())?;
+            let id: u8 = id.parse().map_err(|_| malformed.clone())?;
+            let key = blake3::Hash::from_hex(hex.trim()).map_err(|_| malformed.clone())?;
             if keys.iter().any(|k| k.0 == id) {
                 return Err(KeyFileError::DuplicateNumber(id));
             }
@@ -138,7 +139,8 @@
         }
     }
 
-    /// A key that everybody knows: it finds damage, and proves nothing. For loopback alone.
+    /// The publicly known key used without a key file. It detects damaged datagrams and authenticates nothing, so it is
+    /// used on loopback addresses only.
     pub fn well_known() -> Keys {
         Keys(vec![(0, blake3::derive_key("garnettally fleet link, loopback without a key", b""))])
     }
@@ -148,24 +150,24 @@
     }
 }
 
-/// What an opened datagram says of itself.
+/// The content of a datagram whose MAC is valid.
 #[derive(Debug)]
-pub struct Opened<'a> {
+pub struct OpenedDatagram<'a> {
     pub kind: Kind,
     pub boot: u64,
-    /// Where its sender is reached.
+    /// The address at which its sender receives datagrams.
     pub address: SocketAddr,
     pub body: &'a [u8],
-    /// It repeats the token that it was given; a challenge needs none.
-    pub fresh: bool,
+    /// Whether it repeats the token that this process issued to its sender. Challenges need no token.
+    pub has_valid_token: bool,
 }
 
 #[derive(Default)]
-struct Seen {
+struct ReplayWindow {
     highest: u64,
     bits: u64,
-    /// Which of all datagrams was its last: the one that has been silent for longest gives way.
-    at: u64,
+    /// The value of [`Sealer::opened_count`] at the sender's latest datagram; the sender with the oldest is evicted.
+    last_opened: u64,
 }
 
 /// Seals and opens the datagrams of one process.
@@ -174,38 +176,40 @@
     boot: u64,
     address: SocketAddr,
     secret: [u8; 32],
-    counter: u64,
-    opened: u64,
-    /// The tokens that peers gave, by their address.
+    sent_counter: u64,
+    /// The number of datagrams with a valid token that were opened so far.
+    opened_count: u64,
+    /// The tokens that peers issued to this process, by their addresses.
     tokens: FxHashMap<SocketAddr, u64>,
-    seen: FxHashMap<u64, Seen>,
-    most: usize,
+    seen: FxHashMap<u64, ReplayWindow>,
+    max_peers: usize,
 }
 
 impl Sealer {
-    /// For the process of this life at this address, with at most so many peers.
-    pub fn new(keys: Keys, boot: u64, address: SocketAddr, secret: [u8; 32], most: usize) -> Sealer {
+    /// Creates the sealer of the process with this life and address, which stores state for at most `max_peers` peers.
+    /// `secret` is the key of the tokens and has to be unpredictable.
+    pub fn new(keys: Keys, boot: u64, address: SocketAddr, secret: [u8; 32], max_peers: usize) -> Sealer {
         let (tokens, seen) = (FxHashMap::default(), FxHashMap::default());
-        Sealer { keys, boot, address, secret, counter: 0, opened: 0, tokens, seen, most }
+        Sealer { keys, boot, address, secret, sent_counter: 0, opened_count: 0, tokens, seen, max_peers }
     }
 
-    /// Other keys from now on; counters and tokens go on.
+    /// Replaces the keys; counters and tokens stay valid.
     pub fn replace_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// The token that this sender has to repeat.
+    /// The token that the sender with this life and address has to repeat.
     pub fn token_for(&self, boot: u64, address: SocketAddr) -> u64 {
-        let mut h = blake3::Hasher::new_keyed(&self.secret);
-        h.update(&boot.to_be_bytes());
-        h.update(&address_bytes(address));
-        u64::from_be_bytes(h.finalize().as_bytes()[..8].try_into().unwrap_or_default())
+        let mut hasher = blake3::Hasher::new_keyed(&self.secret);
+        hasher.update(&boot.to_be_bytes());
+        hasher.update(&address_bytes(address));
+        u64::from_be_bytes(hasher.finalize().as_bytes()[..8].try_into().unwrap_or_default())
     }
 
-    /// Takes the token that the peer at this address wants to hear.
+    /// Stores the token that datagrams to the peer at this address have to repeat.
     pub fn learn_token(&mut self, address: SocketAddr, token: u64) {
-        if self.tokens.len() >= self.most && !self.tokens.contains_key(&address) {
-            // Which one goes does not matter: a peer that is still there gives its token again.
+        if self.tokens.len() >= self.max_peers && !self.tokens.contains_key(&address) {
+            // Any token may be evicted: a peer that is still alive issues its token again.
             if let Some(&any) = self.tokens.keys().next() {
                 self.tokens.remove(&any);
             }
@@ -213,41 +217,42 @@
         self.tokens.insert(address, token);
     }
 
-    /// Gives up what is kept for an address.
-    pub fn forget(&mut self, address: SocketAddr) {
+    /// Removes the token stored for an address.
+    pub fn forget_token(&mut self, address: SocketAddr) {
         self.tokens.remove(&address);
     }
 
-    /// A whole datagram with this body for the peer at this address.
+    /// Builds a complete datagram with this body for the peer at this address.
     pub fn seal(&mut self, to: SocketAddr, kind: Kind, body: &[u8]) -> Vec<u8> {
-        self.counter += 1;
+        self.sent_counter += 1;
         let (id, key) = &self.keys.0[0];
-        let mut out = Vec::with_capacity(HEAD + body.len() + MAC);
+        let mut out = Vec::with_capacity(HEADER_BYTES + body.len() + MAC_BYTES);
         out.extend([MAGIC, FORMAT_VERSION, kind as u8, *id]);
         out.extend(self.boot.to_be_bytes());
-        out.extend(self.counter.to_be_bytes());
+        out.extend(self.sent_counter.to_be_bytes());
         out.extend(self.tokens.get(&to).copied().unwrap_or(0).to_be_bytes());
         out.extend(address_bytes(self.address));
         out.extend(body);
         let mac = blake3::keyed_hash(key, &out);
-        out.extend(&mac.as_bytes()[..MAC]);
+        out.extend(&mac.as_bytes()[..MAC_BYTES]);
         out
     }
 
-    /// Checks a datagram. One that is sound but has no good token is `Ok` with `fresh` false: answer it with a
-    /// challenge if [`may_be_challenged`], and with nothing else.
-    pub fn open<'a>(&mut self, data: &'a [u8]) -> Result<Opened<'a>, RejectReason> {
-        if data.len() > MAX_DATAGRAM_BYTES || data.len() < HEAD + MAC || data[0] != MAGIC {
+    /// Checks a datagram and parses its header. For a valid datagram without a valid token the result is `Ok` with
+    /// `has_valid_token` false; it may be answered with a challenge if [`may_be_challenged`], and with nothing else.
+    pub fn open<'a>(&mut self, data: &'a [u8]) -> Result<OpenedDatagram<'a>, RejectReason> {
+        if data.len() > MAX_DATAGRAM_BYTES || data.len() < HEADER_BYTES + MAC_BYTES || data[0] != MAGIC {
             return Err(RejectReason::Malformed);
         }
         if data[1] != FORMAT_VERSION {
             return Err(RejectReason::Version);
         }
         let key = self.keys.find(data[3]).ok_or(RejectReason::Key)?;
-        let (signed, mac) = data.split_at(data.len() - MAC);
-        // Both sides as hashes, which compare in constant time.
-        let ours = blake3::keyed_hash(key, signed);
-        if blake3::Hash::from_bytes(padded(mac)) != blake3::Hash::from_bytes(padded(&ours.as_bytes()[..MAC]))
+        let (authenticated, mac) = data.split_at(data.len() - MAC_BYTES);
+        // Both MACs are compared as hashes, because those compare in constant time.
+        let computed = blake3::keyed_hash(key, authenticated);
+        if blake3::Hash::from_bytes(padded(mac))
+            != blake3::Hash::from_bytes(padded(&computed.as_bytes()[..MAC_BYTES]))
         {
             return Err(RejectReason::Forged);
         }
@@ -256,61 +261,67 @@
             1 => Kind::Swim,
             2 => Kind::Pull,
             3 => Kind::Facts,
-            4 => Kind::News,
+            4 => Kind::UpdateHint,
             5 => Kind::MessagePart,
             _ => return Err(RejectReason::Malformed),
         };
-        let (boot, counter, token) = (number(data, 4), number(data, 12), number(data, 20));
-        let address = read_address(&data[28..HEAD]).ok_or(RejectReason::Malformed)?;
+        let (boot, counter, token) = (read_u64(data, 4), read_u64(data, 12), read_u64(data, 20));
+        let address = read_address(&data[28..HEADER_BYTES]).ok_or(RejectReason::Malformed)?;
         if boot == self.boot {
             return Err(RejectReason::Origin);
         }
-        let fresh = token == self.token_for(boot, address);
-        if fresh {
-            self.once(boot, counter)?;
+        let has_valid_token = token == self.token_for(boot, address);
+        if has_valid_token {
+            self.check_replay(boot, counter)?;
         }
-        Ok(Opened { kind, boot, address, body: &data[HEAD..data.len() - MAC], fresh })
+        Ok(OpenedDatagram {
+            kind,
+            boot,
+            address,
+            body: &data[HEADER_BYTES..data.len() - MAC_BYTES],
+            has_valid_token,
+        })
     }
 
-    /// Lets each counter of a sender pass once.
-    fn once(&mut self, boot: u64, counter: u64) -> Result<(), RejectReason> {
-        self.opened += 1;
-        if self.seen.len() >= self.most && !self.seen.contains_key(&boot) {
-            // A life that is forgotten could be played to us again: only the one silent for longest is, and to get
-            // here takes more lives than the fleet may have members.
-            let oldest = self.seen.iter().min_by_key(|(_, s)| s.at).map(|(&boot, _)| boot);
+    /// Records a sender's counter and rejects it if it was seen before or is older than the window.
+    fn check_replay(&mut self, boot: u64, counter: u64) -> Result<(), RejectReason> {
+        self.opened_count += 1;
+        if self.seen.len() >= self.max_peers && !self.seen.contains_key(&boot) {
+            // Datagrams of an evicted life could be replayed. Only the life that has sent nothing for longest is
+            // evicted, and only if there are more lives than the fleet may have members.
+            let oldest = self.seen.iter().min_by_key(|(_, window)| window.last_opened).map(|(&boot, _)| boot);
             oldest.map(|boot| self.seen.remove(&boot));
         }
-        let s = self.seen.entry(boot).or_default();
-        s.at = self.opened;
-        if counter > s.highest {
-            let by = counter - s.highest;
-            s.bits = if by >= WINDOW { 0 } else { s.bits << by } | 1;
-            s.highest = counter;
+        let window = self.seen.entry(boot).or_default();
+        window.last_opened = self.opened_count;
+        if counter > window.highest {
+            let advance = counter - window.highest;
+            window.bits = if advance >= REPLAY_WINDOW { 0 } else { window.bits << advance } | 1;
+            window.highest = counter;
             return Ok(());
         }
-        let back = s.highest - counter;
-        if back >= WINDOW || s.bits & (1 << back) != 0 {
+        let distance = window.highest - counter;
+        if distance >= REPLAY_WINDOW || window.bits & (1 << distance) != 0 {
             return Err(RejectReason::Replayed);
         }
-        s.bits |= 1 << back;
+        window.bits |= 1 << distance;
         Ok(())
     }
 }
 
-/// Whether the answer to this is no larger than it.
+/// Whether a challenge would be no larger than this datagram.
 pub fn may_be_challenged(data: &[u8]) -> bool {
-    data.len() >= CHALLENGE
+    data.len() >= CHALLENGE_BYTES
 }
 
 fn padded(mac: &[u8]) -> [u8; 32] {
     let mut all = [0; 32];
-    all[..MAC].copy_from_slice(&mac[..MAC]);
+    all[..MAC_BYTES].copy_from_slice(&mac[..MAC_BYTES]);
     all
 }
 
-pub(crate) fn number(data: &[u8], at: usize) -> u64 {
-    data.get(at..at + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
+pub(crate) fn read_u64(data: &[u8], offset: usize) -> u64 {
+    data.get(offset..offset + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
 }
 
 fn address_bytes(address: SocketAddr) -> [u8; 18] {
--- a/crates/peers/src/suspicion.rs
+++ b/crates/peers/src/suspicion.rs
@@ -1,10 +1,10 @@
-//! What is known here of members under suspicion, and which word of a death is believed.
+//! The suspicions known to this member, and the rule by which reports that a member is down are believed.
 //!
-//! A member that was cut off for about the suspicion comes back with verdicts that nobody could object to: its
-//! suspicions were told to nobody who could have answered. So the word that a member is down counts only once that
-//! member has been under suspicion here for a window in which it was asked and could refute; before that the word is
-//! taken for a suspicion. It is the refutation of SWIM, held by whoever hears the verdict, and, as in Lifeguard, a
-//! suspected member is told of the suspicion by those that ask it.
+//! A member that was cut off for about the length of the suspicion time-out returns with reports of dead members that
+//! nobody could refute, because its suspicions reached nobody. Therefore, a report that a member is down counts only
+//! once that member has been suspected here for a window in which it was pinged and could refute; before that, the
+//! report counts as a suspicion. This is the refutation of SWIM, applied by each receiver of the report. As in
+//! Lifeguard, a suspected member is notified of the suspicion by the members that ping it.
 
 use crate::identity::Identity;
 use foca::{Incarnation, Member, State};
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The incarnation under which a member says itself that it leaves: nothing is left to be asked.
-pub(crate) const LEFT: Incarnation = Incarnation::MAX;
+/// The incarnation with which a member announces its own departure. Such a report needs no confirmation.
+pub(crate) const DEPARTED_INCARNATION: Incarnation = Incarnation::MAX;
 
-/// A member's incarnation as it was suspected.
+/// A member under suspicion, with the incarnation that is suspected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspect {
     pub identity: Identity,
@@ -23,11 +23,11 @@
 }
 
 impl Suspect {
-    pub fn of(member: &Member<Identity>) -> Suspect {
+    pub fn from_member(member: &Member<Identity>) -> Suspect {
         Suspect { identity: member.id().clone(), incarnation: member.incarnation() }
     }
 
-    fn is(&self, member: &Member<Identity>) -> bool {
+    fn matches(&self, member: &Member<Identity>) -> bool {
         self.incarnation == member.incarnation() && self.identity == *member.id()
     }
 
@@ -36,138 +36,162 @@
     }
 }
 
-/// One suspicion that stands.
+/// One active suspicion.
 struct Suspicion {
     suspect: Suspect,
     since: Micros,
-    /// Whether this member asks the suspect itself, and when next.
-    asks: bool,
-    ask_at: Micros,
-    /// Somebody said that the suspect is down.
+    /// Whether this member pings the suspect itself.
+    pings_suspect: bool,
+    /// The time of the next ping, if this member pings the suspect.
+    next_ping_at: Micros,
+    /// Whether a peer reported that the suspect is down.
     reported_down: bool,
-    /// The review in which it was last found to stand.
-    round: u64,
+    /// The number of the latest review in which the member was still suspected.
+    last_review: u64,
 }
 
-/// What is to be done about a suspicion.
+/// An action that is due for a suspicion.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    /// Ask the suspect, and tell it of the suspicion; `reported_down`: it may have been renewed since.
-    Ask { suspect: Suspect, reported_down: bool },
-    /// It did not refute within the window: it is down.
+pub(crate) enum SuspicionAction {
+    /// Pings the suspect and notifies it of the suspicion. If it was reported down, it may have rejoined under a later
+    /// identity since.
+    Ping { suspect: Suspect, reported_down: bool },
+    /// Declares the suspect down, because it was reported down and did not refute within the window.
     Confirm(Suspect),
 }
 
-/// All suspicions that stand here, a member each.
+/// All active suspicions, at most one per member address.
 pub(crate) struct Suspicions {
-    /// How long a member can refute before the word of others that it is down is believed.
+    /// The time for which a member can refute before a report that it is down is believed.
     window: Micros,
-    ask_every: Micros,
+    ping_interval: Micros,
     now: Micros,
-    standing: BTreeMap<SocketAddr, Suspicion>,
-    /// Counts reviews.
-    round: u64,
-    /// Verdicts that were heard in the datagram at hand, and taken for suspicions.
-    heard: Vec<Suspect>,
+    active: BTreeMap<SocketAddr, Suspicion>,
+    /// The number of reviews so far.
+    review_count: u64,
+    /// Reports in the current datagram that a member is down, which are treated as suspicions.
+    unconfirmed_reports: Vec<Suspect>,
 }
 
 impl Suspicions {
-    pub fn new(window: Micros, ask_every: Micros) -> Suspicions {
+    pub fn new(window: Micros, ping_interval: Micros) -> Suspicions {
         Suspicions {
             window,
-            ask_every,
+            ping_interval,
             now: Micros(0),
-            standing: BTreeMap::new(),
-            round: 0,
-            heard: Vec::new(),
+            active: BTreeMap::new(),
+            review_count: 0,
+            unconfirmed_reports: Vec::new(),
         }
     }
 
-    /// What a peer says of a member, as it counts here by this time.
-    pub fn admit(&mut self, said: Member<Identity>) -> Member<Identity> {
-        if said.state() != State::Down || said.incarnation() == LEFT {
-            return said;
+    /// Returns a peer's report on a member as it counts here: a report that the member is down becomes a suspicion
+    /// unless the member has been suspected for the window or has announced its departure.
+    pub fn assess_report(&mut self, report: Member<Identity>) -> Member<Identity> {
+        if report.state() != State::Down || report.incarnation() == DEPARTED_INCARNATION {
+            return report;
         }
-        let suspect = Suspect::of(&said);
-        let standing = self.standing.get(&suspect.identity.address).filter(|s| s.suspect == suspect);
-        if standing.is_some_and(|s| self.now - s.since >= self.window) {
-            return said;
+        let suspect = Suspect::from_member(&report);
+        let active =
+            self.active.get(&suspect.identity.address).filter(|suspicion| suspicion.suspect == suspect);
+        if active.is_some_and(|suspicion| self.now - suspicion.since >= self.window) {
+            return report;
         }
         let suspected = suspect.as_member(State::Suspect);
-        self.heard.push(suspect);
+        self.unconfirmed_reports.push(suspect);
         suspected
     }
 
-    /// The time at which the next datagram is taken.
+    /// Sets the current time and discards the reports of the previous datagram.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
-        self.heard.clear();
+        self.unconfirmed_reports.clear();
     }
 
-    /// A standstill of this length did not happen.
-    pub fn shift(&mut self, late: Micros) {
-        for s in self.standing.values_mut() {
-            s.since += late;
-            s.ask_at += late;
+    /// Excludes a stall of this process from all time-outs by moving them `duration` later.
+    pub fn postpone(&mut self, duration: Micros) {
+        for suspicion in self.active.values_mut() {
+            suspicion.since += duration;
+            suspicion.next_ping_at += duration;
         }
     }
 
-    /// Brings what stands in line with who is suspected now. `found`: suspicions that come of this member's own probes;
-    /// `chosen`: whether this member is one of those that ask a suspect in the name of all.
+    /// Updates the active suspicions to the members that are suspected now. `found` contains the suspicions that result
+    /// from this member's own probes; `chosen` returns whether this member is one of those that ping a suspect on
+    /// behalf of the fleet.
     pub fn review<'a>(
         &mut self,
         suspects: impl Iterator<Item = &'a Member<Identity>>,
         found: &[Suspect],
         chosen: impl Fn(&Identity) -> bool,
     ) {
-        self.round += 1;
-        let (now, round) = (self.now, self.round);
+        self.review_count += 1;
+        let (now, review) = (self.now, self.review_count);
         for member in suspects {
             let address = member.id().address;
-            if !self.standing.get(&address).is_some_and(|s| s.suspect.is(member)) {
-                // Gossip reaches most suspects before they are asked.
-                let ask_at = now + self.ask_every;
-                let (suspect, asks) = (Suspect::of(member), chosen(member.id()));
-                let new = Suspicion { suspect, since: now, asks, ask_at, reported_down: false, round };
-                self.standing.insert(address, new);
+            if !self.active.get(&address).is_some_and(|suspicion| suspicion.suspect.matches(member)) {
+                // The first ping is delayed, because gossip reaches most suspects before that.
+                let next_ping_at = now + self.ping_interval;
+                let (suspect, pings_suspect) = (Suspect::from_member(member), chosen(member.id()));
+                let new = Suspicion {
+                    suspect,
+                    since: now,
+                    pings_suspect,
+                    next_ping_at,
+                    reported_down: false,
+                    last_review: review,
+                };
+                self.active.insert(address, new);
             }
-            let Some(s) = self.standing.get_mut(&address) else { continue };
-            s.round = round;
-            s.asks |= found.contains(&s.suspect);
-            if !s.reported_down && self.heard.contains(&s.suspect) {
-                (s.reported_down, s.asks, s.ask_at) = (true, true, now);
+            let Some(suspicion) = self.active.get_mut(&address) else { continue };
+            suspicion.last_review = review;
+            suspicion.pings_suspect |= found.contains(&suspicion.suspect);
+            if !suspicion.reported_down && self.unconfirmed_reports.contains(&suspicion.suspect) {
+                (suspicion.reported_down, suspicion.pings_suspect, suspicion.next_ping_at) =
+                    (true, true, now);
             }
         }
-        self.standing.retain(|_, s| s.round == round);
-        self.heard.clear();
+        self.active.retain(|_, suspicion| suspicion.last_review == review);
+        self.unconfirmed_reports.clear();
     }
 
-    /// What is due by now. What is confirmed stands no longer.
-    pub fn due(&mut self) -> Vec<Step> {
-        let (now, window, ask_every) = (self.now, self.window, self.ask_every);
-        let mut steps = Vec::new();
-        self.standing.retain(|_, s| {
-            let ends = s.reported_down && now - s.since >= window;
-            if ends {
-                steps.push(Step::Confirm(s.suspect.clone()));
-            } else if s.asks && now >= s.ask_at {
-                s.ask_at = now + ask_every;
-                steps.push(Step::Ask { suspect: s.suspect.clone(), reported_down: s.reported_down });
+    /// Returns the actions that are due, and removes the suspicions that are confirmed.
+    pub fn take_due_actions(&mut self) -> Vec<SuspicionAction> {
+        let (now, window, ping_interval) = (self.now, self.window, self.ping_interval);
+        let mut actions = Vec::new();
+        self.active.retain(|_, suspicion| {
+            let is_confirmed = suspicion.reported_down && now - suspicion.since >= window;
+            if is_confirmed {
+                actions.push(SuspicionAction::Confirm(suspicion.suspect.clone()));
+            } else if suspicion.pings_suspect && now >= suspicion.next_ping_at {
+                suspicion.next_ping_at = now + ping_interval;
+                actions.push(SuspicionAction::Ping {
+                    suspect: suspicion.suspect.clone(),
+                    reported_down: suspicion.reported_down,
+                });
             }
-            !ends
+            !is_confirmed
         });
-        steps
+        actions
     }
 
     pub fn next_timeout(&self) -> Option<Micros> {
-        let asks = self.standing.values().filter(|s| s.asks).map(|s| s.ask_at);
-        let ends = self.standing.values().filter(|s| s.reported_down).map(|s| s.since + self.window);
-        asks.chain(ends).min()
+        let pings = self
+            .active
+            .values()
+            .filter(|suspicion| suspicion.pings_suspect)
+            .map(|suspicion| suspicion.next_ping_at);
+        let confirmations = self
+            .active
+            .values()
+            .filter(|suspicion| suspicion.reported_down)
+            .map(|suspicion| suspicion.since + self.window);
+        pings.chain(confirmations).min()
     }
 
     pub fn clear(&mut self) {
-        self.standing.clear();
-        self.heard.clear();
+        self.active.clear();
+        self.unconfirmed_reports.clear();
     }
 }
 
--- a/crates/peers/tests/datagrams.rs
+++ b/crates/peers/tests/datagrams.rs
@@ -1,5 +1,6 @@
-//! Datagrams from nowhere: whatever comes, nothing panics, nothing grows past its bound, and nothing is answered with
-//! more than came. The corpus holds what once mattered; the rest is drawn from real datagrams, changed.
+//! Tests with invalid and unexpected datagrams: for any input, nothing panics, no state grows beyond its bound, and no
+//! answer is larger than the datagram that caused it. The corpus contains datagrams that mattered in the past; the other
+//! inputs are modified copies of real datagrams.
 
 use garnettally_model::Micros;
 use garnettally_peers::{Input, Keys, Output, Peers, RejectReason, Settings, MAX_DATAGRAM_BYTES};
@@ -12,17 +13,17 @@
 }
 
 fn member(port: u16, seeds: &[u16], keys: bool) -> Peers {
-    let mut set = Settings::new(&format!("m{port}"), "z", address(port));
-    set.seeds = seeds.iter().map(|&p| address(p)).collect();
-    set.max_members = 64;
-    set.max_facts = 256;
+    let mut settings = Settings::new(&format!("m{port}"), "z", address(port));
+    settings.seeds = seeds.iter().map(|&p| address(p)).collect();
+    settings.max_members = 64;
+    settings.max_facts = 256;
     let keys = keys.then(|| Keys::parse(&format!("1 {}", "5a".repeat(32))).unwrap());
-    Peers::new(set, keys, [port as u8; 32], Micros(0))
+    Peers::new(settings, keys, [port as u8; 32], Micros(0))
 }
 
-fn sends(p: &mut Peers) -> Vec<(SocketAddr, Vec<u8>)> {
+fn sends(peers: &mut Peers) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut all = Vec::new();
-    while let Some(output) = p.poll() {
+    while let Some(output) = peers.poll() {
         if let Output::Send(to, data) = output {
             all.push((to, data));
         }
@@ -30,7 +31,7 @@
     all
 }
 
-/// Two that talk, and every datagram that passed between them.
+/// Runs two members that exchange a fact, and returns them with every datagram that they sent.
 fn recorded(keys: bool) -> (Peers, Peers, Vec<Vec<u8>>) {
     let (mut a, mut b) = (member(1, &[2], keys), member(2, &[1], keys));
     let mut all = Vec::new();
@@ -56,28 +57,32 @@
             });
         }
     }
-    assert!(a.alive_count() == 2 && b.facts(Micros(3_000_000)).count() == 1, "they never met");
+    assert!(
+        a.alive_count() == 2 && b.facts(Micros(3_000_000)).count() == 1,
+        "the two members did not find each other"
+    );
     (a, b, all)
 }
 
-fn survives(p: &mut Peers, now: Micros, data: &[u8]) {
-    let _ = p.handle(now, Input::Datagram(data));
-    let out: usize = sends(p).iter().map(|(_, d)| d.len()).sum();
-    // What could be opened may have an answer of one datagram; a stranger's gets no more than it sent.
+fn assert_bounded_reaction(peers: &mut Peers, now: Micros, data: &[u8]) {
+    let _ = peers.handle(now, Input::Datagram(data));
+    let out: usize = sends(peers).iter().map(|(_, d)| d.len()).sum();
+    // The answer to a datagram that could be opened may be larger than it, but is bounded. That a challenge is no larger
+    // than the datagram it answers is checked in `datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers`.
     assert!(out <= data.len().max(MAX_DATAGRAM_BYTES * 8), "{out} bytes for {}", data.len());
-    assert!(p.alive_count() <= 64 && p.fact_count() <= 256);
+    assert!(peers.alive_count() <= 64 && peers.fact_count() <= 256);
 }
 
-/// `PEERS_CORPUS=write` writes it anew: of each kind that passes between two members the first, whole, with its body
-/// cut, and with a body of junk, each sealed with the key that all know.
+/// Writes the corpus again; used if `PEERS_CORPUS=write` is set. It contains the first datagram of each kind that two
+/// members exchange: complete, with a truncated body, and with an invalid body, each sealed with the well-known key.
 fn write_corpus(folder: &str) {
     let (.., all) = recorded(false);
     let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
     for kind in 0..=4u8 {
         let Some(whole) = all.iter().find(|d| d[2] == kind) else { panic!("no datagram of kind {kind}") };
         let body = &whole[..whole.len() - 16];
-        let junk: Vec<u8> = body[..46].iter().copied().chain([0xff; 300]).collect();
-        for (name, signed) in [("whole", body), ("cut", &body[..body.len() - 3]), ("junk", &junk[..])] {
+        let invalid: Vec<u8> = body[..46].iter().copied().chain([0xff; 300]).collect();
+        for (name, signed) in [("whole", body), ("cut", &body[..body.len() - 3]), ("junk", &invalid[..])] {
             let mac = blake3::keyed_hash(&key, signed);
             let data = [signed, &mac.as_bytes()[..16]].concat();
             std::fs::write(format!("{folder}/{kind}-{name}"), data).unwrap();
@@ -86,7 +91,7 @@
 }
 
 #[test]
-fn the_corpus_is_survived() {
+fn datagrams_of_the_corpus_cause_no_panic_and_no_growth() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus");
     if std::env::var("PEERS_CORPUS").is_ok_and(|v| v == "write") {
         std::fs::create_dir_all(folder).unwrap();
@@ -94,22 +99,22 @@
     }
     let mut files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
-    assert!(files.len() >= 8, "the corpus is gone");
+    assert!(files.len() >= 8, "the corpus is incomplete");
     let (mut a, ..) = recorded(false);
     for file in files {
-        survives(&mut a, Micros(3_000_000), &std::fs::read(&file).unwrap());
+        assert_bounded_reaction(&mut a, Micros(3_000_000), &std::fs::read(&file).unwrap());
     }
 }
 
-/// Real datagrams, each cut, with bytes changed, joined and repeated. With the key that all know a changed body can be
-/// sealed anew, so that the parsers behind the MAC are met, too.
+/// Real datagrams are truncated, modified, joined and repeated. With the well-known key, a modified body can be sealed
+/// again, so that the parsers behind the check of the MAC are tested, too.
 #[test]
-fn changed_datagrams_are_survived_before_and_behind_the_mac() {
+fn modified_datagrams_cause_no_panic_and_no_growth_before_and_behind_the_mac_check() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     for keys in [true, false] {
         let (mut a, _, all) = recorded(keys);
         let now = Micros(3_000_000);
-        let mut strangers = 0;
+        let mut rejected = 0;
         for _ in 0..20_000 {
             let mut data = all[rng.random_range(0..all.len())].clone();
             for _ in 0..rng.random_range(0..4) {
@@ -131,30 +136,30 @@
                 }
             }
             if !keys && data.len() > 16 && rng.random_bool(0.7) {
-                // The MAC of the key that all know.
+                // The datagram is sealed again with the well-known key.
                 let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
                 let end = data.len() - 16;
                 let mac = blake3::keyed_hash(&key, &data[..end]);
                 data[end..].copy_from_slice(&mac.as_bytes()[..16]);
             }
             let before = a.counters().dropped;
-            survives(&mut a, now, &data);
-            strangers += u64::from(a.counters().dropped != before);
+            assert_bounded_reaction(&mut a, now, &data);
+            rejected += u64::from(a.counters().dropped != before);
         }
-        assert!(strangers > 5_000, "{strangers}: nothing was tried");
+        assert!(rejected > 5_000, "only {rejected} of 20000 datagrams were rejected");
     }
 }
 
-/// Guards against a member without a key that any process on the machine can have send to somebody else.
+/// Guards against a process on the machine that makes a member without a key send datagrams to other machines.
 #[test]
-fn without_a_key_nothing_goes_beyond_loopback() {
+fn without_a_key_datagrams_are_sent_to_loopback_addresses_only() {
     let (mut a, _, all) = recorded(false);
     let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
     for ip in [[192, 0, 2, 7], [0, 0, 0, 0], [224, 0, 0, 1], [255, 255, 255, 255]] {
         for kind in 0..=4u8 {
             let whole = all.iter().find(|d| d[2] == kind).unwrap();
             let mut data = whole[..whole.len() - 16].to_vec();
-            // Another life, reached at an IPv4 address as IPv6 writes it.
+            // The datagram names another life at an IPv4-mapped IPv6 address.
             data[4..12].fill(9);
             data[28..38].fill(0);
             data[38..40].fill(0xff);
@@ -171,9 +176,9 @@
     }
 }
 
-/// Guards against a flood of lives: each gets a challenge and no memory.
+/// Guards against a flood of datagrams from unknown lives: each is answered with a challenge, and none uses memory.
 #[test]
-fn many_lives_of_strangers_cost_nothing() {
+fn datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers() {
     let (mut a, ..) = recorded(true);
     for n in 0..2_000u16 {
         let mut stranger = member(10_000 + n, &[1], true);
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/peers/tests/net/mod.rs
@@ -1,4 +1,5 @@
-//! A network in virtual time: members, each with a clock of its own, and links that lose, delay, repeat and reorder.
+//! A simulated network in virtual time: members with clocks of their own, and links that lose, delay, duplicate and
+//! reorder datagrams.
 
 use garnettally_model::Micros;
 use garnettally_peers::{Event, Input, Keys, Output, Peers, Settings};
@@ -10,37 +11,38 @@
 
 pub const SECOND: i64 = 1_000_000;
 
-/// What a link does to a datagram, in one direction.
+/// The faults of a link in one direction.
 #[derive(Clone, Copy)]
 pub struct Link {
     pub cut: bool,
     pub loss: f64,
-    pub twice: f64,
-    /// Least and most delay, in microseconds.
+    pub duplication: f64,
+    /// The minimum and maximum delay, in microseconds.
     pub delay: (i64, i64),
 }
 
-pub const GOOD: Link = Link { cut: false, loss: 0.0, twice: 0.0, delay: (100, 2_000) };
+pub const RELIABLE: Link = Link { cut: false, loss: 0.0, duplication: 0.0, delay: (100, 2_000) };
 
-pub struct Node {
+pub struct SimulatedMember {
     pub peers: Option<Peers>,
-    /// Its clock: so many of its microseconds pass in one, counted from so many.
+    /// The rate of the member's clock, relative to the virtual time.
     pub rate: f64,
+    /// The reading of the member's clock at virtual time 0, extrapolated at the current rate, in microseconds.
     pub offset: i64,
     pub paused: bool,
-    /// What came while it was paused.
+    /// The datagrams that arrived while the member was paused.
     inbox: Vec<Vec<u8>>,
     pub events: Vec<Event>,
-    pub letters: Vec<(u64, Vec<u8>)>,
+    pub messages: Vec<(u64, Vec<u8>)>,
 }
 
-pub struct Net {
+pub struct Network {
     pub now: i64,
-    pub nodes: Vec<Node>,
+    pub members: Vec<SimulatedMember>,
     links: BTreeMap<(usize, usize), Link>,
-    pub every_link: Link,
+    pub default_link: Link,
     queue: BTreeMap<(i64, u64), (usize, Vec<u8>)>,
-    next: u64,
+    last_sequence: u64,
     pub rng: ChaCha8Rng,
     pub tune: fn(&mut Settings),
     pub bytes: u64,
@@ -54,55 +56,55 @@
     Keys::parse(&format!("1 {}", "5a".repeat(32))).unwrap()
 }
 
-impl Net {
-    /// So many members that start at once and know the first two as seeds.
-    pub fn new(n: usize, seed: u64, tune: fn(&mut Settings)) -> Net {
-        let mut net = Net {
+impl Network {
+    /// Creates a network of members that start at the same time and have the first two as seeds.
+    pub fn new(count: usize, seed: u64, tune: fn(&mut Settings)) -> Network {
+        let mut network = Network {
             now: 0,
-            nodes: Vec::new(),
+            members: Vec::new(),
             links: BTreeMap::new(),
-            every_link: GOOD,
+            default_link: RELIABLE,
             queue: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             tune,
             bytes: 0,
         };
-        for i in 0..n {
-            let node = Node {
+        for i in 0..count {
+            let member = SimulatedMember {
                 peers: None,
                 rate: 1.0,
                 offset: 0,
                 paused: false,
                 inbox: Vec::new(),
                 events: Vec::new(),
-                letters: Vec::new(),
+                messages: Vec::new(),
             };
-            net.nodes.push(node);
-            net.start(i);
+            network.members.push(member);
+            network.start(i);
         }
-        net
+        network
     }
 
-    /// Starts a member, anew if it was there.
+    /// Starts a member, or restarts it if it is running.
     pub fn start(&mut self, i: usize) {
         self.start_as(i, &format!("m{i}"));
     }
 
     pub fn start_as(&mut self, i: usize, name: &str) {
-        let mut set = Settings::new(name, "z", address(i));
-        set.seeds = vec![address(0), address(1)];
-        (self.tune)(&mut set);
+        let mut settings = Settings::new(name, "z", address(i));
+        settings.seeds = vec![address(0), address(1)];
+        (self.tune)(&mut settings);
         let mut seed = [0; 32];
         self.rng.fill_bytes(&mut seed);
         let at = self.clock(i);
-        self.nodes[i].inbox.clear();
-        self.nodes[i].paused = false;
-        self.nodes[i].peers = Some(Peers::new(set, Some(keys()), seed, at));
+        self.members[i].inbox.clear();
+        self.members[i].paused = false;
+        self.members[i].peers = Some(Peers::new(settings, Some(keys()), seed, at));
     }
 
     pub fn kill(&mut self, i: usize) {
-        self.nodes[i].peers = None;
+        self.members[i].peers = None;
     }
 
     pub fn link(&mut self, from: usize, to: usize, link: Link) {
@@ -111,68 +113,68 @@
 
     pub fn heal(&mut self) {
         self.links.clear();
-        self.every_link = GOOD;
+        self.default_link = RELIABLE;
     }
 
-    /// Cuts all links between these and the others, both ways.
+    /// Cuts all links between these members and the others, in both directions.
     pub fn split(&mut self, side: &[usize]) {
-        for a in 0..self.nodes.len() {
-            for b in 0..self.nodes.len() {
+        for a in 0..self.members.len() {
+            for b in 0..self.members.len() {
                 if side.contains(&a) != side.contains(&b) {
-                    self.link(a, b, Link { cut: true, ..GOOD });
+                    self.link(a, b, Link { cut: true, ..RELIABLE });
                 }
             }
         }
     }
 
     pub fn clock(&self, i: usize) -> Micros {
-        Micros(self.nodes[i].offset + (self.now as f64 * self.nodes[i].rate) as i64)
+        Micros(self.members[i].offset + (self.now as f64 * self.members[i].rate) as i64)
     }
 
-    /// A member's clock runs at this rate from now on, and does not jump.
+    /// Changes the rate of a member's clock without a jump of its reading.
     pub fn set_rate(&mut self, i: usize, rate: f64) {
         let at = self.clock(i).0;
-        self.nodes[i].rate = rate;
-        self.nodes[i].offset = at - (self.now as f64 * rate) as i64;
+        self.members[i].rate = rate;
+        self.members[i].offset = at - (self.now as f64 * rate) as i64;
     }
 
     pub fn resume(&mut self, i: usize) {
-        self.nodes[i].paused = false;
-        for data in std::mem::take(&mut self.nodes[i].inbox) {
+        self.members[i].paused = false;
+        for data in std::mem::take(&mut self.members[i].inbox) {
             self.deliver(i, &data);
         }
     }
 
     fn deliver(&mut self, i: usize, data: &[u8]) {
         let at = self.clock(i);
-        let Some(p) = &mut self.nodes[i].peers else { return };
-        let _ = p.handle(at, Input::Datagram(data));
-        self.fetch(i);
+        let Some(peers) = &mut self.members[i].peers else { return };
+        let _ = peers.handle(at, Input::Datagram(data));
+        self.process_outputs(i);
     }
 
     pub fn leave(&mut self, i: usize) {
         let at = self.clock(i);
-        let _ = self.nodes[i].peers.as_mut().unwrap().handle(at, Input::Leave);
-        self.fetch(i);
+        let _ = self.members[i].peers.as_mut().unwrap().handle(at, Input::Leave);
+        self.process_outputs(i);
         self.kill(i);
     }
 
-    fn fetch(&mut self, i: usize) {
+    fn process_outputs(&mut self, i: usize) {
         loop {
-            let Some(output) = self.nodes[i].peers.as_mut().and_then(Peers::poll) else { return };
+            let Some(output) = self.members[i].peers.as_mut().and_then(Peers::poll) else { return };
             match output {
-                Output::Event(e) => self.nodes[i].events.push(e),
-                Output::Message(from, letter) => self.nodes[i].letters.push((from, letter)),
+                Output::Event(event) => self.members[i].events.push(event),
+                Output::Message(from, message) => self.members[i].messages.push((from, message)),
                 Output::Send(to, data) => {
                     self.bytes += data.len() as u64;
                     let to = usize::from(to.port()) - 1000;
-                    let link = self.links.get(&(i, to)).copied().unwrap_or(self.every_link);
-                    let copies = 1 + usize::from(self.rng.random_bool(link.twice));
+                    let link = self.links.get(&(i, to)).copied().unwrap_or(self.default_link);
+                    let copies = 1 + usize::from(self.rng.random_bool(link.duplication));
                     for _ in 0..copies {
                         let at = self.now + self.rng.random_range(link.delay.0..=link.delay.1);
-                        if !link.cut && to < self.nodes.len() && !self.rng.random_bool(link.loss) {
-                            self.next += 1;
-                            self.queue.insert((at, self.next), (to, data.clone()));
+                        if !link.cut && to < self.members.len() && !self.rng.random_bool(link.loss) {
+                            self.last_sequence += 1;
+                            self.queue.insert((at, self.last_sequence), (to, data.clone()));
                         }
                     }
                 }
@@ -180,73 +182,75 @@
         }
     }
 
-    /// Lets this much time pass, in steps of 1 ms for what members do by themselves.
+    /// Advances the virtual time by `time` microseconds, running the members' timers in steps of 1 ms.
     pub fn run(&mut self, time: i64) {
         let end = self.now + time;
         while self.now < end {
             self.now += 1_000;
             while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (to, data) = entry.remove();
-                if self.nodes[to].paused {
-                    // As much as a socket's buffer holds.
-                    if self.nodes[to].inbox.len() < 200 {
-                        self.nodes[to].inbox.push(data);
+                if self.members[to].paused {
+                    // The limit stands for the size of a socket's receive buffer.
+                    if self.members[to].inbox.len() < 200 {
+                        self.members[to].inbox.push(data);
                     }
                 } else {
                     self.deliver(to, &data);
                 }
             }
-            for i in 0..self.nodes.len() {
+            for i in 0..self.members.len() {
                 let at = self.clock(i);
-                let Node { peers: Some(p), paused: false, .. } = &mut self.nodes[i] else { continue };
-                if p.next_timeout() <= at {
-                    let _ = p.handle(at, Input::Wake);
-                    self.fetch(i);
+                let SimulatedMember { peers: Some(peers), paused: false, .. } = &mut self.members[i] else {
+                    continue;
+                };
+                if peers.next_timeout() <= at {
+                    let _ = peers.handle(at, Input::Wake);
+                    self.process_outputs(i);
                 }
             }
         }
     }
 
-    /// Until this holds, or for so long at most; the time that it took, if it came.
-    pub fn until(&mut self, most: i64, mut holds: impl FnMut(&Net) -> bool) -> Option<i64> {
+    /// Advances the virtual time until the condition holds, for at most `timeout` microseconds. Returns the time that
+    /// it took, or `None` if the condition does not hold by then.
+    pub fn run_until(&mut self, timeout: i64, mut condition: impl FnMut(&Network) -> bool) -> Option<i64> {
         let start = self.now;
-        while self.now - start < most {
-            if holds(self) {
+        while self.now - start < timeout {
+            if condition(self) {
                 return Some(self.now - start);
             }
             self.run(20_000);
         }
-        holds(self).then_some(self.now - start)
+        condition(self).then_some(self.now - start)
     }
 
     pub fn alive(&self, i: usize) -> u32 {
-        self.nodes[i].peers.as_ref().map_or(0, |p| p.alive_count())
+        self.members[i].peers.as_ref().map_or(0, |p| p.alive_count())
     }
 
-    /// Each live member sees so many alive.
-    pub fn all_see(&self, n: u32) -> bool {
-        (0..self.nodes.len()).filter(|&i| self.nodes[i].peers.is_some()).all(|i| self.alive(i) == n)
+    /// Whether each running member believes that `count` members are alive.
+    pub fn all_see_alive(&self, count: u32) -> bool {
+        (0..self.members.len()).filter(|&i| self.members[i].peers.is_some()).all(|i| self.alive(i) == count)
     }
 
-    /// Says something whose value is the true time.
-    pub fn say(&mut self, i: usize, key: &[u8]) {
+    /// Publishes a fact whose value is the current virtual time.
+    pub fn publish_time(&mut self, i: usize, key: &[u8]) {
         let (at, now) = (self.clock(i), self.now);
-        if let Some(p) = &mut self.nodes[i].peers {
-            p.publish(at, key, &now.to_be_bytes(), Micros(0));
+        if let Some(peers) = &mut self.members[i].peers {
+            peers.publish(at, key, &now.to_be_bytes(), Micros(0));
         }
     }
 
-    /// The true ages of all that this member would act upon now.
-    pub fn ages(&self, i: usize) -> Vec<i64> {
+    /// The true ages of all facts that this member would use now, in microseconds.
+    pub fn true_ages(&self, i: usize) -> Vec<i64> {
         let at = self.clock(i);
-        let Some(p) = &self.nodes[i].peers else { return Vec::new() };
-        p.facts(at).map(|f| self.now - i64::from_be_bytes(f.value.try_into().unwrap())).collect()
+        let Some(peers) = &self.members[i].peers else { return Vec::new() };
+        peers.facts(at).map(|f| self.now - i64::from_be_bytes(f.value.try_into().unwrap())).collect()
     }
 }
 
-/// **The** invariant of staleness: nothing is acted upon that is older than the bound, for clocks that are at the
-/// worst slower by this.
+/// The invariant of staleness: no fact older than the bound is used, if no clock runs slower than the rate `slowest`.
 pub fn within_bound(age: i64, bound: Duration, slowest: f64) -> bool {
-    // A step of the harness, and one millisecond of rounding.
+    // The tolerance covers a step of 1 ms of the simulation and 1 ms of rounding.
     age as f64 <= bound.as_micros() as f64 / slowest + 2_000.0
 }
