--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,9 +1,9 @@
-//! The I/O of the fleet link: one UDP socket, the key file, and bounds on the rates at which datagrams are sent and
-//! received (docs/design/fleet.md).
+//! The I/O of the fleet link: one UDP socket, the key file, and bounds on the rates at which datagrams are
+//! sent and received (docs/design/fleet.md).
 //!
 //! [`Link`] drives `garnettally_peers` from the caller's event loop: the loop watches [`Link::socket`], calls
-//! [`Link::on_readable`] and, at [`Link::next_wake`], [`Link::run_due_timers`]. No call blocks, and each call reads
-//! only a bounded number of the queued datagrams, so that requests are not delayed.
+//! [`Link::on_readable`] and, at [`Link::next_wake`], [`Link::run_due_timers`]. No call blocks, and each call
+//! reads only a bounded number of the queued datagrams, so that requests are not delayed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -28,7 +28,8 @@
 /// The settings of the link, taken from the operator's file.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// The settings of this member. If the port of its address is 0, peers are given the port that the system chose.
+    /// The settings of this member. If the port of its address is 0, peers are given the port that the system
+    /// chose.
     pub member: Settings,
     /// The local address on which datagrams are received.
     pub bind_address: SocketAddr,
@@ -103,9 +104,9 @@
     buffer: Vec<u8>,
 }
 
-/// The time since the machine started, by which the fleet measures all of its times. This clock also advances while
-/// the machine is suspended and while the process is stopped, so that after such a pause the age of stored
-/// information is still its true age.
+/// The time since the machine started, by which the fleet measures all of its times. This clock also advances
+/// while the machine is suspended and while the process is stopped, so that after such a pause the age of
+/// stored information is still its true age.
 pub fn time_since_boot() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     Micros(time.tv_sec.saturating_mul(1_000_000).saturating_add(time.tv_nsec / 1_000))
@@ -130,7 +131,8 @@
         let mut seed = [0; 32];
         SysRng.try_fill_bytes(&mut seed).map_err(|e| LinkError::Random(e.to_string()))?;
         let now = time_since_boot();
-        // The burst is one second's worth, because a start and the loss of a zone cause many datagrams at once.
+        // The burst is one second's worth, because a start and the loss of a zone cause many datagrams at
+        // once.
         let send_bucket = TokenBucket::new(
             settings.max_send_bytes_per_s,
             settings.max_send_bytes_per_s.max(4 * MAX_DATAGRAM_BYTES as u64),
@@ -166,8 +168,8 @@
             let length = match self.socket.recv_from(&mut self.buffer) {
                 Ok((length, _)) => length,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                // An earlier send to a peer that no longer listens may be reported as an error here; the next call
-                // continues to read.
+                // An earlier send to a peer that no longer listens may be reported as an error here; the next
+                // call continues to read.
                 Err(_) => break,
             };
             if self.receive_bucket.try_take(now, 1) {
@@ -212,8 +214,8 @@
         std::mem::take(&mut self.messages)
     }
 
-    /// Sends a message to the member with this life. Returns `false` if no such member is known or the message is
-    /// too long.
+    /// Sends a message to the member with this life. Returns `false` if no such member is known or the
+    /// message is too long.
     pub fn send_message(&mut self, life: u64, message: &[u8]) -> bool {
         let sent = self.peers.send_message(life, message);
         self.flush(time_since_boot());
@@ -228,8 +230,8 @@
         Ok(())
     }
 
-    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws the fact.
-    /// Returns `false` if there is no room for it.
+    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws
+    /// the fact. Returns `false` if there is no room for it.
     pub fn publish(&mut self, key: &[u8], value: &[u8], age: Duration) -> bool {
         let age = Micros(age.as_micros().min(i64::MAX as u128) as i64);
         self.peers.publish(time_since_boot(), key, value, age)
@@ -289,8 +291,8 @@
                     if !self.send_bucket.try_take(now, data.len() as u64) {
                         self.dropped.over_send_rate += 1;
                     } else if self.socket.send_to(&data, to).is_err() {
-                        // Nobody listens at the address, or the kernel's buffer is full. The protocol tolerates lost
-                        // datagrams, so the send is not retried.
+                        // Nobody listens at the address, or the kernel's buffer is full. The protocol
+                        // tolerates lost datagrams, so the send is not retried.
                         self.dropped.send_failed += 1;
                     }
                 }
--- a/crates/link/src/lib_tests.rs
+++ b/crates/link/src/lib_tests.rs
@@ -13,7 +13,8 @@
     }
 }
 
-/// Guards against a flood of invalid datagrams that occupies the event loop, and against answering such datagrams.
+/// Guards against a flood of invalid datagrams that occupies the event loop, and against answering such
+/// datagrams.
 #[test]
 fn a_flood_of_invalid_datagrams_is_dropped_without_answer_in_bounded_reads() {
     let mut config = settings("a");
--- a/crates/peers/src/facts.rs
+++ b/crates/peers/src/facts.rs
@@ -1,9 +1,10 @@
 //! Facts that members exchange: small values with an age, which expire by themselves.
 //!
-//! A fact belongs to the life of the member that published it. A member passes it on together with its current age, and
-//! the receiver adds the whole time between its own request and the answer, by its own clock: the sender can't have
-//! read the fact before it was requested. An age is therefore never too small, whatever the links do, except for
-//! differences in the rates of the clocks, and no two clocks are ever compared.
+//! A fact belongs to the life of the member that published it. A member passes it on together with its
+//! current age, and the receiver adds the whole time between its own request and the answer, by its own
+//! clock: the sender can't have read the fact before it was requested. An age is therefore never too small,
+//! whatever the links do, except for differences in the rates of the clocks, and no two clocks are ever
+//! compared.
 
 use crate::seal::read_u64;
 use garnettally_model::Micros;
@@ -45,7 +46,8 @@
     max_per_origin: usize,
     next_seq: u64,
     entries: BTreeMap<(u64, Vec<u8>), Stored>,
-    /// The origin and key of each fact by the sequence number of its latest change, from which pages are built.
+    /// The origin and key of each fact by the sequence number of its latest change, from which pages are
+    /// built.
     by_seq: BTreeMap<u64, (u64, Vec<u8>)>,
     count_by_origin: BTreeMap<u64, usize>,
 }
@@ -76,11 +78,11 @@
         }
     }
 
-    /// Publishes a fact of this member under its next version. Returns `false` if the key or value is too long or there
-    /// is no room for the fact.
+    /// Publishes a fact of this member under its next version. Returns `false` if the key or value is too
+    /// long or there is no room for the fact.
     pub fn publish(&mut self, now: Micros, key: &[u8], value: &[u8], age: Micros) -> bool {
-        // All keys share one version counter: a fact that has expired here may still be stored elsewhere, and publishing
-        // its key again under a version that was used before would make the old value look recent.
+        // All keys share one version counter: a fact that has expired here may still be stored elsewhere, and
+        // publishing its key again under a version that was used before would make the old value look recent.
         self.version = self.version.saturating_add(1);
         key.len() <= MAX_FACT_KEY_BYTES
             && value.len() <= MAX_FACT_VALUE_BYTES
@@ -194,8 +196,9 @@
         page
     }
 
-    /// Stores the facts of a page that was requested at the time `requested_at`. Returns the number of facts for which a
-    /// bound left no room, or `None` if the page is malformed; the facts before the malformed one are stored then.
+    /// Stores the facts of a page that was requested at the time `requested_at`. Returns the number of facts
+    /// for which a bound left no room, or `None` if the page is malformed; the facts before the malformed one
+    /// are stored then.
     pub fn apply_page(&mut self, now: Micros, requested_at: Micros, mut bytes: &[u8]) -> Option<usize> {
         let transit = Micros((now - requested_at).0.max(0));
         let mut rejected = 0;
--- a/crates/peers/src/facts_tests.rs
+++ b/crates/peers/src/facts_tests.rs
@@ -13,7 +13,8 @@
 fn a_fact_ages_in_transit_and_expires() {
     let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10), Facts::new(2, MAX_AGE, 10));
     assert!(a.publish(Micros(0), b"k", b"bad", Micros(500_000)));
-    // The page is sent 1 s later to a member whose clock differs, and 300 ms pass between its request and the answer.
+    // The page is sent 1 s later to a member whose clock differs, and 300 ms pass between its request and the
+    // answer.
     let page = a.page(Micros(1_000_000), 0, 1000);
     assert_eq!(b.apply_page(Micros(77_300_000), Micros(77_000_000), &page.bytes), Some(0));
     assert_eq!(values(&b, 77_300_000), [(1, b"bad".to_vec(), 1_800_000)]);
@@ -37,7 +38,8 @@
     assert_eq!(a.page(Micros(20), new.cursor, 1000).bytes, b"");
 }
 
-/// Guards against a value that has expired here and looks recent again elsewhere because its key was published again.
+/// Guards against a value that has expired here and looks recent again elsewhere because its key was
+/// published again.
 #[test]
 fn a_key_published_again_after_expiry_has_a_later_version() {
     let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10), Facts::new(2, MAX_AGE, 10));
@@ -49,7 +51,8 @@
     assert_eq!(values(&b, MAX_AGE.0), [(1, b"new".to_vec(), 0)]);
 }
 
-/// When a zone fails, 2,000 facts may be published at once; none is lost because it does not fit into one datagram.
+/// When a zone fails, 2,000 facts may be published at once; none is lost because it does not fit into one
+/// datagram.
 #[test]
 fn many_facts_are_transferred_in_pages() {
     let (mut a, mut b) = (Facts::new(1, MAX_AGE, 10_000), Facts::new(2, MAX_AGE, 10_000));
@@ -84,8 +87,9 @@
     assert_eq!(b.len(), 11);
 }
 
-/// Passes a fact from member to member, with a delay before each request and one between request and answer, and
-/// returns the age that the last member computes and the true age. The mutant ignores the time in transit.
+/// Passes a fact from member to member, with a delay before each request and one between request and answer,
+/// and returns the age that the last member computes and the true age. The mutant ignores the time in
+/// transit.
 fn pass_along(delays: &[(i64, i64)], mutant: bool) -> Option<(i64, i64)> {
     let mut from = Facts::new(1, MAX_AGE, 10);
     from.publish(Micros(0), b"k", b"x", Micros(0));
@@ -118,7 +122,9 @@
 
 proptest! {
     #[test]
-    fn no_age_is_smaller_than_the_true_age(delays in proptest::collection::vec((0i64..2_000_000, 0i64..2_000_000), 1..8)) {
+    fn no_age_is_smaller_than_the_true_age(
+        delays in proptest::collection::vec((0i64..2_000_000, 0i64..2_000_000), 1..8)
+    ) {
         if let Some(ages) = pass_along(&delays, false) {
             prop_assert!(age_is_not_too_small(ages), "{ages:?}");
         }
@@ -126,7 +132,9 @@
 
     /// Arbitrary input bytes are either stored or refused without a panic, and the bounds hold.
     #[test]
-    fn arbitrary_pages_neither_panic_nor_exceed_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_pages_neither_panic_nor_exceed_bounds(
+        bytes in proptest::collection::vec(any::<u8>(), 0..400)
+    ) {
         let mut b = Facts::new(2, MAX_AGE, 4);
         b.apply_page(Micros(5), Micros(3), &bytes);
         prop_assert!(b.len() <= 4);
--- a/crates/peers/src/identity.rs
+++ b/crates/peers/src/identity.rs
@@ -6,8 +6,9 @@
 /// The longest name of a member or of a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One life of one member, that is, one run of its process. Members are distinguished by their address; a process that
-/// restarts at that address, or returns after it was declared dead, is a new incarnation of the member.
+/// One life of one member, that is, one run of its process. Members are distinguished by their address; a
+/// process that restarts at that address, or returns after it was declared dead, is a new incarnation of the
+/// member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// The address to which peers send datagrams.
@@ -18,9 +19,9 @@
     pub zone: String,
     /// A random number drawn when the process starts, which distinguishes the lives of the member.
     pub boot: u64,
-    /// A counter that increases at each rejoin; of two identities with one address, the one with the higher generation
-    /// is the later one. It is not derived from a clock: a process that starts learns the highest previous generation
-    /// from the first peer that answers.
+    /// A counter that increases at each rejoin; of two identities with one address, the one with the higher
+    /// generation is the later one. It is not derived from a clock: a process that starts learns the highest
+    /// previous generation from the first peer that answers.
     pub generation: u64,
 }
 
@@ -38,8 +39,8 @@
     }
 }
 
-/// Whether datagrams may be sent to an address that a peer supplied. Without a key, any process on this machine can
-/// supply one, so only loopback addresses are allowed then.
+/// Whether datagrams may be sent to an address that a peer supplied. Without a key, any process on this
+/// machine can supply one, so only loopback addresses are allowed then.
 pub(crate) fn is_allowed_destination(address: SocketAddr, loopback_only: bool) -> bool {
     let ip = address.ip();
     address.port() != 0
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,10 @@
-//! The membership protocol of a fleet of balancers, and the exchange of facts and messages between its members
-//! (docs/design/fleet.md).
+//! The membership protocol of a fleet of balancers, and the exchange of facts and messages between its
+//! members (docs/design/fleet.md).
 //!
-//! [`Peers`] implements the whole protocol without sockets and without a clock: the caller passes in datagrams and the
-//! time ([`Peers::handle`]), fetches datagrams to send and events ([`Peers::poll`]), and passes [`Input::Wake`] at
-//! [`Peers::next_timeout`]. Membership is SWIM as implemented by `foca`. Facts are pulled rather than pushed, so that
-//! the receiver has a bound on their age.
+//! [`Peers`] implements the whole protocol without sockets and without a clock: the caller passes in
+//! datagrams and the time ([`Peers::handle`]), fetches datagrams to send and events ([`Peers::poll`]), and
+//! passes [`Input::Wake`] at [`Peers::next_timeout`]. Membership is SWIM as implemented by `foca`. Facts are
+//! pulled rather than pushed, so that the receiver has a bound on their age.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -187,11 +187,11 @@
     next_hint_at: Micros,
     next_seed_at: Micros,
     next_cleanup_at: Micros,
-    /// Earlier sizes of the fleet with the times until which they were in force, in the order of time. The sizes
-    /// decrease, so that the first is the largest.
+    /// Earlier sizes of the fleet with the times until which they were in force, in the order of time. The
+    /// sizes decrease, so that the first is the largest.
     recent_sizes: VecDeque<(Micros, u32)>,
-    /// The kind and body of the last datagram sent to each address. It is sent again if the peer answers with a
-    /// challenge.
+    /// The kind and body of the last datagram sent to each address. It is sent again if the peer answers with
+    /// a challenge.
     last_sent: FxHashMap<SocketAddr, (Kind, Vec<u8>)>,
     /// The pairs of live members with the same name that were reported.
     reported_duplicates: Vec<(SocketAddr, SocketAddr)>,
@@ -202,13 +202,13 @@
 /// The maximum number of rounds of hints per interval between pulls.
 const HINTS_PER_PULL_INTERVAL: i64 = 10;
 
-/// The number of outputs that may wait to be fetched. Further datagrams are dropped, which the protocol tolerates like
-/// any loss on a link.
+/// The number of outputs that may wait to be fetched. Further datagrams are dropped, which the protocol
+/// tolerates like any loss on a link.
 const MAX_QUEUED_OUTPUTS: usize = 1024;
 
 impl Peers {
-    /// Creates the state of a member that has just started. Without keys, only loopback addresses are accepted. `seed`
-    /// has to be unpredictable and to differ at each start.
+    /// Creates the state of a member that has just started. Without keys, only loopback addresses are
+    /// accepted. `seed` has to be unpredictable and to differ at each start.
     pub fn new(settings: Settings, keys: Option<Keys>, seed: [u8; 32], now: Micros) -> Peers {
         let mut rng = ChaCha8Rng::from_seed(seed);
         let boot = rng.next_u64().max(1);
@@ -284,8 +284,8 @@
         self.swim.next_timeout().map_or(next, |at| at.min(next))
     }
 
-    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws the previous
-    /// one. Returns `false` if the key or value is too long or there is no room for the fact.
+    /// Publishes a fact to all members; `age` is the time since it was established. An empty value withdraws
+    /// the previous one. Returns `false` if the key or value is too long or there is no room for the fact.
     pub fn publish(&mut self, now: Micros, key: &[u8], value: &[u8], age: Micros) -> bool {
         let is_stored = self.facts.publish(now, key, value, age);
         if is_stored && now >= self.next_hint_at {
@@ -295,8 +295,8 @@
         is_stored
     }
 
-    /// Sends a message to the member with this life, which receives either all of it or nothing. Returns `false` if no
-    /// such member is known or the message is longer than [`MAX_MESSAGE_BYTES`].
+    /// Sends a message to the member with this life, which receives either all of it or nothing. Returns
+    /// `false` if no such member is known or the message is longer than [`MAX_MESSAGE_BYTES`].
     pub fn send_message(&mut self, life: u64, message: &[u8]) -> bool {
         let Some(address) = self.address_of(life) else { return false };
         let Some(parts) = self.fragments.split(message, MAX_BODY_BYTES) else { return false };
@@ -341,9 +341,9 @@
         self.swim.alive_count() as u32 + 1
     }
 
-    /// The assumed size of the fleet: the largest number of members alive within [`Settings::size_hold`], and at least
-    /// [`Settings::size_floor`]. When the network is partitioned, neither side may take itself for the whole fleet before
-    /// its operator can notice the partition.
+    /// The assumed size of the fleet: the largest number of members alive within [`Settings::size_hold`], and
+    /// at least [`Settings::size_floor`]. When the network is partitioned, neither side may take itself for
+    /// the whole fleet before its operator can notice the partition.
     pub fn fleet_size(&self, now: Micros) -> u32 {
         let from = now - micros(self.settings.size_hold);
         let largest =
@@ -392,8 +392,8 @@
                 Err(false) => Err(RejectReason::Bound),
             },
             Kind::UpdateHint => {
-                // At most one pull per peer and interval, so that a peer that sends hints all the time does not cause
-                // more pulls.
+                // At most one pull per peer and interval, so that a peer that sends hints all the time does
+                // not cause more pulls.
                 if !self
                     .pending_pulls
                     .values()
@@ -416,7 +416,8 @@
         self.send(address, Kind::Challenge, &body);
     }
 
-    /// Stores the token from a peer's challenge, and sends the last datagram to that peer again with the token.
+    /// Stores the token from a peer's challenge, and sends the last datagram to that peer again with the
+    /// token.
     fn handle_challenge(
         &mut self,
         now: Micros,
@@ -426,8 +427,8 @@
         if body.len() != 16 {
             return Err(RejectReason::Malformed);
         }
-        // A challenge is accepted only from an address to which a datagram was sent, and once per datagram. A replayed
-        // challenge therefore spoils at most one datagram.
+        // A challenge is accepted only from an address to which a datagram was sent, and once per datagram. A
+        // replayed challenge therefore spoils at most one datagram.
         let (kind, last) = self.last_sent.remove(&address).ok_or(RejectReason::Unasked)?;
         self.sealer.learn_token(address, read_u64(body, 0));
         let generation = read_u64(body, 8);
@@ -516,8 +517,8 @@
     fn run_due_timers(&mut self, now: Micros) {
         self.swim.run_due_timers(now);
         if now >= self.next_seed_at {
-            // The jitter keeps the members of a fleet that started at the same time from contacting the seeds at the same
-            // moment again and again.
+            // The jitter keeps the members of a fleet that started at the same time from contacting the seeds
+            // at the same moment again and again.
             let period = micros(self.settings.probe_period * 2);
             self.next_seed_at = now + Micros(self.rng.random_range(period.0 / 2..=period.0.max(1)));
             let members: Vec<SocketAddr> = self
@@ -556,7 +557,8 @@
         }
     }
 
-    /// Notifies some random peers that facts have changed. They pull the facts, so that the bound on the ages holds.
+    /// Notifies some random peers that facts have changed. They pull the facts, so that the bound on the ages
+    /// holds.
     fn send_hints(&mut self, now: Micros) {
         self.hinted_change_count = self.facts.change_count();
         // Facts published in quick succession are announced by one hint.
@@ -575,8 +577,8 @@
         }
     }
 
-    /// The peers to pull from next: the neighbours, which spread facts along fixed paths, and a random peer, which
-    /// reaches what these paths miss.
+    /// The peers to pull from next: the neighbours, which spread facts along fixed paths, and a random peer,
+    /// which reaches what these paths miss.
     fn next_pull_targets(&mut self) -> Vec<(u64, SocketAddr)> {
         let live: Vec<(u64, SocketAddr)> = self
             .swim
@@ -594,8 +596,8 @@
         next
     }
 
-    /// Queues the packets and events that `foca` produced, and updates the state that depends on the membership. It runs
-    /// after each input.
+    /// Queues the packets and events that `foca` produced, and updates the state that depends on the
+    /// membership. It runs after each input.
     fn process_membership_output(&mut self, now: Micros) {
         while let Some((to, body)) = self.swim.next_send() {
             self.send(to, Kind::Swim, &body);
@@ -623,7 +625,8 @@
     fn record_size(&mut self, now: Micros) {
         let size = self.alive_count();
         let from = now - micros(self.settings.size_hold);
-        // The previous size was in force until now, however long ago it was recorded, so it is held from now on.
+        // The previous size was in force until now, however long ago it was recorded, so it is held from now
+        // on.
         if let Some(last) = self.recent_sizes.back_mut() {
             last.0 = now;
         }
@@ -656,8 +659,8 @@
     }
 }
 
-/// Hashes a pair of lives to a number that is the same on all members. Sorted by it, the values of `other` are in the
-/// order in which they are chosen to serve `one`.
+/// Hashes a pair of lives to a number that is the same on all members. Sorted by it, the values of `other`
+/// are in the order in which they are chosen to serve `one`.
 pub fn rendezvous_hash(one: u64, other: u64) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&one.to_be_bytes());
--- a/crates/peers/src/messages.rs
+++ b/crates/peers/src/messages.rs
@@ -1,13 +1,13 @@
-//! Messages that may be longer than a datagram: they are split into parts and reassembled from all of them. If a part
-//! is lost, the whole message is lost, and its sender has to send it again.
+//! Messages that may be longer than a datagram: they are split into parts and reassembled from all of them.
+//! If a part is lost, the whole message is lost, and its sender has to send it again.
 
 use garnettally_model::Micros;
 use rustc_hash::FxHashMap;
 
 /// The maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The length of a part's header: the number of the message, the index of the part and the number of parts, 4 bytes
-/// each.
+/// The length of a part's header: the number of the message, the index of the part and the number of parts, 4
+/// bytes each.
 const HEADER_BYTES: usize = 12;
 /// The number of incomplete messages stored per sender; a further one replaces the sender's oldest.
 const MAX_INCOMPLETE_PER_SENDER: usize = 4;
@@ -35,8 +35,8 @@
 }
 
 impl MessageFragments {
-    /// Returns the bodies of the datagrams that carry a message, each at most `room` bytes long, or `None` if the
-    /// message is too long.
+    /// Returns the bodies of the datagrams that carry a message, each at most `room` bytes long, or `None` if
+    /// the message is too long.
     pub fn split(&mut self, message: &[u8], room: usize) -> Option<Vec<Vec<u8>>> {
         let room = room.checked_sub(HEADER_BYTES).filter(|r| *r > 0)?;
         if message.len() > MAX_MESSAGE_BYTES {
@@ -55,8 +55,8 @@
         Some((0..part_count).map(part).collect())
     }
 
-    /// Stores a received part and returns the message once all of its parts have arrived. Fails with `Err(true)` if the
-    /// part is malformed, and with `Err(false)` if a bound leaves no room for it.
+    /// Stores a received part and returns the message once all of its parts have arrived. Fails with
+    /// `Err(true)` if the part is malformed, and with `Err(false)` if a bound leaves no room for it.
     pub fn accept_part(&mut self, now: Micros, from: u64, body: &[u8]) -> Result<Option<Vec<u8>>, bool> {
         let read_u32 =
             |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
--- a/crates/peers/src/messages_tests.rs
+++ b/crates/peers/src/messages_tests.rs
@@ -1,4 +1,5 @@
-//! Tests of splitting and reassembling messages: any order, missing parts, bounded memory, and arbitrary input bytes.
+//! Tests of splitting and reassembling messages: any order, missing parts, bounded memory, and arbitrary
+//! input bytes.
 
 use super::*;
 use proptest::prelude::*;
@@ -50,7 +51,9 @@
 
 proptest! {
     #[test]
-    fn arbitrary_parts_neither_panic_nor_corrupt_the_byte_count(bodies in proptest::collection::vec((0u64..3, proptest::collection::vec(0u8..4, 0..40)), 0..60)) {
+    fn arbitrary_parts_neither_panic_nor_corrupt_the_byte_count(
+        bodies in proptest::collection::vec((0u64..3, proptest::collection::vec(0u8..4, 0..40)), 0..60)
+    ) {
         let mut receiver = MessageFragments::default();
         for (from, body) in &bodies {
             let _ = receiver.accept_part(Micros(0), *from, body);
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -1,9 +1,10 @@
 //! The envelope of every datagram: version, sender, replay protection and a keyed MAC.
 //!
-//! With each datagram a sender proves that it is addressing this running process: the datagram repeats a token that the
-//! receiver issued to the sender. The token is a keyed hash under a secret that the receiver draws when it starts.
-//! Checking it therefore needs no stored state, and datagrams recorded before the receiver started can't be replayed
-//! to it. Within one life of both sides, a window over the sender's counter drops repeated datagrams.
+//! With each datagram a sender proves that it is addressing this running process: the datagram repeats a
+//! token that the receiver issued to the sender. The token is a keyed hash under a secret that the receiver
+//! draws when it starts. Checking it therefore needs no stored state, and datagrams recorded before the
+//! receiver started can't be replayed to it. Within one life of both sides, a window over the sender's
+//! counter drops repeated datagrams.
 
 use rustc_hash::FxHashMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr, SocketAddrV6};
@@ -18,8 +19,8 @@
 const MAC_BYTES: usize = 16;
 /// The maximum size of a datagram's body, in bytes.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAC_BYTES;
-/// The size of a challenge. Shorter datagrams are not answered with one, so that no answer is larger than the datagram
-/// that caused it.
+/// The size of a challenge. Shorter datagrams are not answered with one, so that no answer is larger than the
+/// datagram that caused it.
 const CHALLENGE_BYTES: usize = HEADER_BYTES + 16 + MAC_BYTES;
 /// The number of most recent datagrams of a sender within which datagrams may arrive out of order.
 const REPLAY_WINDOW: u64 = 64;
@@ -41,7 +42,8 @@
     MessagePart,
 }
 
-/// The reason why a datagram is dropped. Metrics and `GET /members` show the names of the variants in lower case.
+/// The reason why a datagram is dropped. Metrics and `GET /members` show the names of the variants in lower
+/// case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum RejectReason {
     /// The datagram is truncated, too long, or not of this format.
@@ -115,7 +117,8 @@
 }
 
 impl Keys {
-    /// Parses lines of a number and 64 hex digits; `#` starts a comment. The key of the first line seals datagrams.
+    /// Parses lines of a number and 64 hex digits; `#` starts a comment. The key of the first line seals
+    /// datagrams.
     pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys: Vec<(u8, [u8; 32])> = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -139,8 +142,8 @@
         }
     }
 
-    /// The publicly known key used without a key file. It detects damaged datagrams and authenticates nothing, so it is
-    /// used on loopback addresses only.
+    /// The publicly known key used without a key file. It detects damaged datagrams and authenticates
+    /// nothing, so it is used on loopback addresses only.
     pub fn well_known() -> Keys {
         Keys(vec![(0, blake3::derive_key("garnettally fleet link, loopback without a key", b""))])
     }
@@ -166,7 +169,8 @@
 struct ReplayWindow {
     highest: u64,
     bits: u64,
-    /// The value of [`Sealer::opened_count`] at the sender's latest datagram; the sender with the oldest is evicted.
+    /// The value of [`Sealer::opened_count`] at the sender's latest datagram; the sender with the oldest is
+    /// evicted.
     last_opened: u64,
 }
 
@@ -186,8 +190,8 @@
 }
 
 impl Sealer {
-    /// Creates the sealer of the process with this life and address, which stores state for at most `max_peers` peers.
-    /// `secret` is the key of the tokens and has to be unpredictable.
+    /// Creates the sealer of the process with this life and address, which stores state for at most
+    /// `max_peers` peers. `secret` is the key of the tokens and has to be unpredictable.
     pub fn new(keys: Keys, boot: u64, address: SocketAddr, secret: [u8; 32], max_peers: usize) -> Sealer {
         let (tokens, seen) = (FxHashMap::default(), FxHashMap::default());
         Sealer { keys, boot, address, secret, sent_counter: 0, opened_count: 0, tokens, seen, max_peers }
@@ -238,8 +242,9 @@
         out
     }
 
-    /// Checks a datagram and parses its header. For a valid datagram without a valid token the result is `Ok` with
-    /// `has_valid_token` false; it may be answered with a challenge if [`may_be_challenged`], and with nothing else.
+    /// Checks a datagram and parses its header. For a valid datagram without a valid token the result is `Ok`
+    /// with `has_valid_token` false; it may be answered with a challenge if [`may_be_challenged`], and with
+    /// nothing else.
     pub fn open<'a>(&mut self, data: &'a [u8]) -> Result<OpenedDatagram<'a>, RejectReason> {
         if data.len() > MAX_DATAGRAM_BYTES || data.len() < HEADER_BYTES + MAC_BYTES || data[0] != MAGIC {
             return Err(RejectReason::Malformed);
@@ -287,8 +292,8 @@
     fn check_replay(&mut self, boot: u64, counter: u64) -> Result<(), RejectReason> {
         self.opened_count += 1;
         if self.seen.len() >= self.max_peers && !self.seen.contains_key(&boot) {
-            // Datagrams of an evicted life could be replayed. Only the life that has sent nothing for longest is
-            // evicted, and only if there are more lives than the fleet may have members.
+            // Datagrams of an evicted life could be replayed. Only the life that has sent nothing for longest
+            // is evicted, and only if there are more lives than the fleet may have members.
             let oldest = self.seen.iter().min_by_key(|(_, window)| window.last_opened).map(|(&boot, _)| boot);
             oldest.map(|boot| self.seen.remove(&boot));
         }
--- a/crates/peers/src/seal_tests.rs
+++ b/crates/peers/src/seal_tests.rs
@@ -44,7 +44,8 @@
     );
 }
 
-/// When an older and a newer program run side by side, neither understands the other, and both count it as such.
+/// When an older and a newer program run side by side, neither understands the other, and both count it as
+/// such.
 #[test]
 fn another_version_is_distinguished_from_malformed_input() {
     let (mut a, mut b) = pair();
--- a/crates/peers/src/suspicion.rs
+++ b/crates/peers/src/suspicion.rs
@@ -1,10 +1,11 @@
 //! The suspicions known to this member, and the rule by which reports that a member is down are believed.
 //!
-//! A member that was cut off for about the length of the suspicion time-out returns with reports of dead members that
-//! nobody could refute, because its suspicions reached nobody. Therefore, a report that a member is down counts only
-//! once that member has been suspected here for a window in which it was pinged and could refute; before that, the
-//! report counts as a suspicion. This is the refutation of SWIM, applied by each receiver of the report. As in
-//! Lifeguard, a suspected member is notified of the suspicion by the members that ping it.
+//! A member that was cut off for about the length of the suspicion time-out returns with reports of dead
+//! members that nobody could refute, because its suspicions reached nobody. Therefore, a report that a member
+//! is down counts only once that member has been suspected here for a window in which it was pinged and could
+//! refute; before that, the report counts as a suspicion. This is the refutation of SWIM, applied by each
+//! receiver of the report. As in Lifeguard, a suspected member is notified of the suspicion by the members
+//! that ping it.
 
 use crate::identity::Identity;
 use foca::{Incarnation, Member, State};
@@ -53,8 +54,8 @@
 /// An action that is due for a suspicion.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum SuspicionAction {
-    /// Pings the suspect and notifies it of the suspicion. If it was reported down, it may have rejoined under a later
-    /// identity since.
+    /// Pings the suspect and notifies it of the suspicion. If it was reported down, it may have rejoined
+    /// under a later identity since.
     Ping { suspect: Suspect, reported_down: bool },
     /// Declares the suspect down, because it was reported down and did not refute within the window.
     Confirm(Suspect),
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Returns a peer's report on a member as it counts here: a report that the member is down becomes a suspicion
-    /// unless the member has been suspected for the window or has announced its departure.
+    /// Returns a peer's report on a member as it counts here: a report that the member is down becomes a
+    /// suspicion unless the member has been suspected for the window or has announced its departure.
     pub fn assess_report(&mut self, report: Member<Identity>) -> Member<Identity> {
         if report.state() != State::Down || report.incarnation() == DEPARTED_INCARNATION {
             return report;
@@ -116,9 +117,9 @@
         }
     }
 
-    /// Updates the active suspicions to the members that are suspected now. `found` contains the suspicions that result
-    /// from this member's own probes; `chosen` returns whether this member is one of those that ping a suspect on
-    /// behalf of the fleet.
+    /// Updates the active suspicions to the members that are suspected now. `found` contains the suspicions
+    /// that result from this member's own probes; `chosen` returns whether this member is one of those that
+    /// ping a suspect on behalf of the fleet.
     pub fn review<'a>(
         &mut self,
         suspects: impl Iterator<Item = &'a Member<Identity>>,
--- a/crates/peers/src/suspicion_tests.rs
+++ b/crates/peers/src/suspicion_tests.rs
@@ -14,8 +14,8 @@
     Member::new(identity(1), incarnation, state)
 }
 
-/// Processes a datagram with this report at this time, after which the member is suspected. Returns the state in which
-/// the report counts.
+/// Processes a datagram with this report at this time, after which the member is suspected. Returns the state
+/// in which the report counts.
 fn receive(suspicions: &mut Suspicions, now: i64, report: Member<Identity>) -> State {
     suspicions.set_now(Micros(now));
     let counted_state = suspicions.assess_report(report).state();
--- a/crates/peers/src/swim.rs
+++ b/crates/peers/src/swim.rs
@@ -21,13 +21,15 @@
 
 /// The number of times an update is passed on, which suffices for a few thousand members.
 const TRANSMISSIONS: u8 = 12;
-/// The number of members to which a member that was declared dead announces itself again; seeds are contacted, too.
+/// The number of members to which a member that was declared dead announces itself again; seeds are
+/// contacted, too.
 const REJOIN_CONTACTS: usize = 5;
 /// The number of members that are requested to probe a member indirectly.
 const INDIRECT_PROBES: usize = 3;
 /// The number of members that ping a suspect because they received the suspicion from others.
 const DELEGATED_PINGERS: usize = 3;
-/// The probe number of a ping that is sent for the incarnation in its answer and belongs to no probe in progress.
+/// The probe number of a ping that is sent for the incarnation in its answer and belongs to no probe in
+/// progress.
 const UNNUMBERED_PROBE: u8 = 0;
 
 /// The state that the codec shares with [`Swim`]. The codec sees every packet that is sent or received.
@@ -55,7 +57,8 @@
     }
 }
 
-/// A codec that checks received identities before `foca` processes them, and bounds the number of known members.
+/// A codec that checks received identities before `foca` processes them, and bounds the number of known
+/// members.
 #[derive(Clone)]
 struct CheckedCodec {
     inner: PostcardCodec,
@@ -281,8 +284,8 @@
         }
     }
 
-    /// Pings a suspect and notifies it of the suspicion. It answers with a later incarnation, which refutes the
-    /// suspicion.
+    /// Pings a suspect and notifies it of the suspicion. It answers with a later incarnation, which refutes
+    /// the suspicion.
     fn ping_suspect(&mut self, suspect: Suspect, reported_down: bool) {
         let address = suspect.identity.address;
         let own = self.state.borrow().own.clone().filter(|own| own.identity == *self.own_identity());
@@ -301,15 +304,15 @@
             self.pending.sends.push_back((address, body));
         }
         if reported_down {
-            // If the suspect was notified that it is declared down, it has rejoined under another identity by now and
-            // ignores packets for the old one. An announcement to its address reaches either.
+            // If the suspect was notified that it is declared down, it has rejoined under another identity by
+            // now and ignores packets for the old one. An announcement to its address reaches either.
             let _ = self.foca.announce(Identity::seed(address), &mut self.pending);
         }
     }
 
-    /// Resets the state after this member was declared dead, and announces it to some of the others. A member that was
-    /// cut off believes the others dead and would still pass that on; peers that believed it would remove members that
-    /// never failed.
+    /// Resets the state after this member was declared dead, and announces it to some of the others. A member
+    /// that was cut off believes the others dead and would still pass that on; peers that believed it would
+    /// remove members that never failed.
     fn reset_and_rejoin(&mut self, now: Micros) {
         let others: Vec<SocketAddr> = self.other_members().map(|(id, _)| id.address).collect();
         // The new instance must not repeat the random numbers of the previous one.
@@ -333,8 +336,8 @@
         let _ = self.foca.announce(Identity::seed(to), &mut self.pending);
     }
 
-    /// Adopts a higher generation than `generation`, which peers know of a previous life at this member's address, so
-    /// that this life counts as the later one.
+    /// Adopts a higher generation than `generation`, which peers know of a previous life at this member's
+    /// address, so that this life counts as the later one.
     pub fn supersede_generation(&mut self, now: Micros, generation: u64) {
         let me = self.own_identity();
         if generation >= me.generation {
@@ -353,8 +356,8 @@
         self.state.borrow_mut().is_leaving = false;
     }
 
-    /// Detects a stall of this process and postpones all timers by its length. Otherwise, peers whose answers are
-    /// received but not yet read would be taken to be unresponsive.
+    /// Detects a stall of this process and postpones all timers by its length. Otherwise, peers whose answers
+    /// are received but not yet read would be taken to be unresponsive.
     fn detect_stall(&mut self, now: Micros) {
         let Some(delay) =
             self.next_timeout().map(|due| now - due).filter(|delay| *delay > self.stall_threshold)
@@ -376,7 +379,8 @@
         while let Some(entry) = self.pending.timers.first_entry().filter(|e| e.key().0 <= now) {
             due.push(entry.remove());
         }
-        // As foca's documentation requires, timers that are due together run in the order that `Timer` defines.
+        // As foca's documentation requires, timers that are due together run in the order that `Timer`
+        // defines.
         due.sort();
         for timer in due {
             let _ = self.foca.handle_timer(timer, &mut self.pending);
--- a/crates/peers/tests/datagrams.rs
+++ b/crates/peers/tests/datagrams.rs
@@ -1,6 +1,6 @@
-//! Tests with invalid and unexpected datagrams: for any input, nothing panics, no state grows beyond its bound, and no
-//! answer is larger than the datagram that caused it. The corpus contains datagrams that mattered in the past; the other
-//! inputs are modified copies of real datagrams.
+//! Tests with invalid and unexpected datagrams: for any input, nothing panics, no state grows beyond its
+//! bound, and no answer to an unknown sender is larger than the datagram that caused it. The corpus contains
+//! datagrams that mattered in the past; the other inputs are modified copies of real datagrams.
 
 use garnettally_model::Micros;
 use garnettally_peers::{Input, Keys, Output, Peers, RejectReason, Settings, MAX_DATAGRAM_BYTES};
@@ -67,14 +67,16 @@
 fn assert_bounded_reaction(peers: &mut Peers, now: Micros, data: &[u8]) {
     let _ = peers.handle(now, Input::Datagram(data));
     let out: usize = sends(peers).iter().map(|(_, d)| d.len()).sum();
-    // The answer to a datagram that could be opened may be larger than it, but is bounded. That a challenge is no larger
-    // than the datagram it answers is checked in `datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers`.
+    // The answer to a datagram that could be opened may be larger than it, but is bounded. That a challenge
+    // is no larger than the datagram it answers is checked in
+    // `datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers`.
     assert!(out <= data.len().max(MAX_DATAGRAM_BYTES * 8), "{out} bytes for {}", data.len());
     assert!(peers.alive_count() <= 64 && peers.fact_count() <= 256);
 }
 
-/// Writes the corpus again; used if `PEERS_CORPUS=write` is set. It contains the first datagram of each kind that two
-/// members exchange: complete, with a truncated body, and with an invalid body, each sealed with the well-known key.
+/// Writes the corpus again; used if `PEERS_CORPUS=write` is set. It contains the first datagram of each kind
+/// that two members exchange: complete, with a truncated body, and with an invalid body, each sealed with the
+/// well-known key.
 fn write_corpus(folder: &str) {
     let (.., all) = recorded(false);
     let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
@@ -106,8 +108,8 @@
     }
 }
 
-/// Real datagrams are truncated, modified, joined and repeated. With the well-known key, a modified body can be sealed
-/// again, so that the parsers behind the check of the MAC are tested, too.
+/// Real datagrams are truncated, modified, joined and repeated. With the well-known key, a modified body can
+/// be sealed again, so that the parsers behind the check of the MAC are tested, too.
 #[test]
 fn modified_datagrams_cause_no_panic_and_no_growth_before_and_behind_the_mac_check() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
@@ -150,7 +152,8 @@
     }
 }
 
-/// Guards against a process on the machine that makes a member without a key send datagrams to other machines.
+/// Guards against a process on the machine that makes a member without a key send datagrams to other
+/// machines.
 #[test]
 fn without_a_key_datagrams_are_sent_to_loopback_addresses_only() {
     let (mut a, _, all) = recorded(false);
@@ -176,7 +179,8 @@
     }
 }
 
-/// Guards against a flood of datagrams from unknown lives: each is answered with a challenge, and none uses memory.
+/// Guards against a flood of datagrams from unknown lives: each is answered with a challenge, and none uses
+/// memory.
 #[test]
 fn datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers() {
     let (mut a, ..) = recorded(true);
--- a/crates/peers/tests/faults.rs
+++ b/crates/peers/tests/faults.rs
@@ -15,8 +15,8 @@
     network.members[i].events.iter().any(what)
 }
 
-/// Guards against a simultaneous start of all members that leaves separate fleets, and against facts that do not reach
-/// every member.
+/// Guards against a simultaneous start of all members that leaves separate fleets, and against facts that do
+/// not reach every member.
 #[test]
 fn members_started_at_once_form_one_fleet_and_facts_reach_all() {
     let mut network = Network::new(40, 1, max_age_10_s);
@@ -28,7 +28,8 @@
     assert!(spread <= 2 * SECOND, "joined after {joined}, spread in {spread} us");
 }
 
-/// Guards against the whole fleet declaring a member dead because one link to or from it is cut in one direction.
+/// Guards against the whole fleet declaring a member dead because one link to or from it is cut in one
+/// direction.
 #[test]
 fn a_link_cut_in_one_direction_causes_no_death() {
     let mut network = Network::new(5, 2, max_age_10_s);
@@ -44,12 +45,14 @@
     assert!(network.all_see_alive(5));
 }
 
-/// Guards against two sides of a partition that each act as the whole fleet, and against a partition that never heals.
+/// Guards against two sides of a partition that each act as the whole fleet, and against a partition that
+/// never heals.
 #[test]
 fn a_partition_of_30_s_reduces_no_assumed_size_and_heals() {
     let mut network = Network::new(10, 3, max_age_10_s);
     network.run_until(20 * SECOND, |n| n.all_see_alive(10)).unwrap();
-    // The run is longer than the hold time: the size in force is recorded once, and must not expire while it is in force.
+    // The run is longer than the hold time: the size in force is recorded once, and must not expire while it
+    // is in force.
     network.run(100 * SECOND);
     network.split(&[0, 1, 2]);
     network.run(30 * SECOND);
@@ -107,8 +110,9 @@
     settings.ask_every = Duration::from_millis(50);
 }
 
-/// Cuts off the given members for a random time of about the suspicion time-out, heals the links, and counts the pairs in
-/// which a member declared another of its own side dead, although no link between the two was ever cut.
+/// Cuts off the given members for a random time of about the suspicion time-out, heals the links, and counts
+/// the pairs in which a member declared another of its own side dead, although no link between the two was
+/// ever cut.
 fn deaths_within_a_side(seed: u64, cut_off: &[usize], cut: CutDirection) -> usize {
     let mut network = Network::new(5, seed, drill_settings);
     network.run_until(20 * SECOND, |n| n.all_see_alive(5)).unwrap();
@@ -145,9 +149,9 @@
     (seed as i64 * 37 % 100) * 1_000
 }
 
-/// Guards against believing a member that was cut off for about the suspicion time-out: the others have not yet declared
-/// it dead, its own suspicions reached nobody, and the deaths that it concludes from them concern members that never
-/// failed. `PEERS_SCHEDULES` sets a larger number of runs than in CI.
+/// Guards against believing a member that was cut off for about the suspicion time-out: the others have not
+/// yet declared it dead, its own suspicions reached nobody, and the deaths that it concludes from them
+/// concern members that never failed. `PEERS_SCHEDULES` sets a larger number of runs than in CI.
 #[test]
 fn after_a_cut_of_about_the_suspicion_timeout_no_member_declares_one_of_its_own_side_dead() {
     let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
@@ -175,7 +179,8 @@
     others.any(|(id, s)| s == MemberState::Down && id.address == address(other))
 }
 
-/// Guards against the same at a member that has just started, and knows the fleet only from the member that was cut off.
+/// Guards against the same at a member that has just started, and knows the fleet only from the member that
+/// was cut off.
 #[test]
 fn a_member_started_as_a_cut_ends_considers_no_live_member_dead() {
     let mut false_deaths = 0;
@@ -198,8 +203,8 @@
     assert_eq!(false_deaths, 0, "checks that found a member considering a live one dead");
 }
 
-/// Guards against deaths that are known late because reports of them are confirmed first. The bound is that of
-/// docs/design/fleet.md: the time until the first probe, the suspicion time-out and half of it.
+/// Guards against deaths that are known late because reports of them are confirmed first. The bound is that
+/// of docs/design/fleet.md: the time until the first probe, the suspicion time-out and half of it.
 #[test]
 fn a_death_is_known_to_all_within_the_bound() {
     let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(40);
@@ -226,8 +231,8 @@
     }
 }
 
-/// Guards against a member that was stalled for longer than the suspicion time-out and continues without noticing, and
-/// against one that takes its own stall for the death of its peers.
+/// Guards against a member that was stalled for longer than the suspicion time-out and continues without
+/// noticing, and against one that takes its own stall for the death of its peers.
 #[test]
 fn a_member_stalled_for_long_notices_that_it_was_declared_dead() {
     let mut network = Network::new(5, 4, max_age_10_s);
@@ -270,7 +275,8 @@
     assert!(seen >= 60 * 100 * 95 / 100, "{seen} of 6000");
 }
 
-/// Guards against a loss of most members that the remaining ones do not notice or after which they do not work.
+/// Guards against a loss of most members that the remaining ones do not notice or after which they do not
+/// work.
 #[test]
 fn the_remaining_members_work_after_seven_in_ten_die_at_once() {
     let mut network = Network::new(30, 6, max_age_10_s);
@@ -360,8 +366,8 @@
     assert!(network.all_see_alive(5));
 }
 
-/// Runs a random schedule of faults of links, processes and clocks, and checks the ages of the facts of each member in
-/// each step. Returns the number of checked ages and the largest of them, in microseconds.
+/// Runs a random schedule of faults of links, processes and clocks, and checks the ages of the facts of each
+/// member in each step. Returns the number of checked ages and the largest of them, in microseconds.
 fn run_random_schedule(seed: u64) -> (usize, i64) {
     let mut network = Network::new(5, seed, |settings| settings.max_age = Duration::from_secs(3));
     (1..5).for_each(|i| {
@@ -425,8 +431,8 @@
     (checks, oldest)
 }
 
-/// Guards against facts that are used beyond the bound on their age. `PEERS_SCHEDULES` sets a larger number of runs than
-/// in CI.
+/// Guards against facts that are used beyond the bound on their age. `PEERS_SCHEDULES` sets a larger number
+/// of runs than in CI.
 #[test]
 fn no_fact_is_used_beyond_the_bound_on_its_age_under_any_faults() {
     let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/peers/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network in virtual time: members with clocks of their own, and links that lose, delay, duplicate and
-//! reorder datagrams.
+//! A simulated network in virtual time: members with clocks of their own, and links that lose, delay,
+//! duplicate and reorder datagrams.
 
 use garnettally_model::Micros;
 use garnettally_peers::{Event, Input, Keys, Output, Peers, Settings};
@@ -27,7 +27,8 @@
     pub peers: Option<Peers>,
     /// The rate of the member's clock, relative to the virtual time.
     pub rate: f64,
-    /// The reading of the member's clock at virtual time 0, extrapolated at the current rate, in microseconds.
+    /// The reading of the member's clock at virtual time 0, extrapolated at the current rate, in
+    /// microseconds.
     pub offset: i64,
     pub paused: bool,
     /// The datagrams that arrived while the member was paused.
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Advances the virtual time until the condition holds, for at most `timeout` microseconds. Returns the time that
-    /// it took, or `None` if the condition does not hold by then.
+    /// Advances the virtual time until the condition holds, for at most `timeout` microseconds. Returns the
+    /// time that it took, or `None` if the condition does not hold by then.
     pub fn run_until(&mut self, timeout: i64, mut condition: impl FnMut(&Network) -> bool) -> Option<i64> {
         let start = self.now;
         while self.now - start < timeout {
@@ -249,7 +250,8 @@
     }
 }
 
-/// The invariant of staleness: no fact older than the bound is used, if no clock runs slower than the rate `slowest`.
+/// The invariant of staleness: no fact older than the bound is used, if no clock runs slower than the rate
+/// `slowest`.
 pub fn within_bound(age: i64, bound: Duration, slowest: f64) -> bool {
     // The tolerance covers a step of 1 ms of the simulation and 1 ms of rounding.
     age as f64 <= bound.as_micros() as f64 / slowest + 2_000.0
--- a/crates/verdicts/src/claim.rs
+++ b/crates/verdicts/src/claim.rs
@@ -1,31 +1,34 @@
-//! What is said of what, as it goes over the link.
+//! Claims about nodes, and their encoding as facts on the fleet link.
 
 use garnettally_model::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The first byte of a key: other kinds of news have others.
+/// The first byte of the key of a fact that is a claim; facts of other kinds have other first bytes.
 const KIND: u8 = b'v';
 
-/// A node, or a node for one class. A node that started anew is another one.
+/// The subject of a claim: a node, or a node for one class of requests. A node that has restarted is another
+/// subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Subject {
-    /// The hash of its pool's name.
+    /// The hash of the name of the node's pool.
     pub pool: u64,
-    /// The hash of its name.
+    /// The hash of the node's name.
     pub node: u64,
-    /// When it started, in microseconds, as its list says; 0: the list does not say.
+    /// The time at which the node started, in microseconds, as given in the list of upstreams; 0 if the list
+    /// gives none.
     pub started_at_us: i64,
-    /// The hash of the class's name; 0: all classes.
+    /// The hash of the class's name, or 0 for all classes.
     pub class: u64,
 }
 
-/// The hash that stands for a name. Members need not have the same numbers.
+/// The hash that identifies a name in claims. Members may number the same nodes differently, so claims carry
+/// no numbers.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 0x6761_726e).max(1)
 }
 
 impl Subject {
-    /// As the key of a fact.
+    /// Encodes the subject as the key of a fact.
     pub fn to_key(self) -> Vec<u8> {
         let mut key = vec![KIND];
         for part in [self.pool, self.node, self.started_at_us as u64, self.class] {
@@ -34,7 +37,7 @@
         key
     }
 
-    /// `None`: the key is not one of a verdict.
+    /// Decodes the key of a fact. Returns `None` if it is not the key of a claim.
     pub fn from_key(key: &[u8]) -> Option<Subject> {
         let (&KIND, parts) = key.split_first()? else { return None };
         let mut numbers = parts.chunks_exact(8).map(|c| c.try_into().map(u64::from_be_bytes));
@@ -43,41 +46,42 @@
         (parts.len() == 32).then_some(Subject { pool, node, started_at_us, class })
     }
 
-    /// The start of a node as it is written here.
-    pub fn encode_start(told: Option<Micros>) -> i64 {
-        told.map_or(0, |t| t.0)
+    /// Converts the start time of a node to [`Subject::started_at_us`].
+    pub fn encode_start(started_at: Option<Micros>) -> i64 {
+        started_at.map_or(0, |time| time.0)
     }
 }
 
-/// What is said.
+/// The condition of a node that a claim asserts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeCondition {
-    /// It errs, hangs or is slow: that holds wherever one stands.
+    /// The node fails requests, hangs or is slow, which applies to all members.
     Sick,
-    /// It can't be reached, which may be the fault of the way there.
+    /// The node can't be reached, which may be the fault of the network path from the member.
     Unreachable,
-    /// It was sick, and has answered since.
+    /// The node was sick or unreachable, and has answered since.
     Well,
-    /// It has not answered for longer than nearly any answer takes, though not for long enough to be sure by oneself.
+    /// The node has not answered for longer than almost any answer takes, but not for long enough that one
+    /// member alone could be sure.
     Silent,
 }
 
-/// What a member says of a subject.
+/// A member's assessment of a subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// What.
+    /// The condition of the node.
     pub condition: NodeCondition,
-    /// How bad it was found, 0 to 1.
+    /// The severity of the condition, from 0 to 1; 0 for a node that is well.
     pub severity: f64,
 }
 
 impl Claim {
-    /// As the value of a fact.
+    /// Encodes the claim as the value of a fact.
     pub fn to_value(self) -> Vec<u8> {
         vec![self.condition as u8, (self.severity.clamp(0.0, 1.0) * 255.0).round() as u8]
     }
 
-    /// `None`: the value is not one of a verdict.
+    /// Decodes the value of a fact. Returns `None` if it is not the value of a claim.
     pub fn from_value(value: &[u8]) -> Option<Claim> {
         let &[condition, severity] = value else { return None };
         let condition = match condition {
--- a/crates/verdicts/src/exchange.rs
+++ b/crates/verdicts/src/exchange.rs
@@ -1,63 +1,69 @@
-//! One pool's opinions out, and hearsay in.
+//! The exchange of verdicts for one pool: opinions of the decision module become claims, and merged verdicts
+//! become remote reports for the module.
 
 use crate::claim::{name_hash, Claim, NodeCondition, Subject};
-use crate::merge::{own_fault, MergedVerdict};
+use crate::merge::{is_own_fault, MergedVerdict};
 use garnettally_model::{ClassId, Findings, Hearsay, Micros, Opinion, ServerId};
 use rustc_hash::FxHashMap;
 
-/// What is to be said: key, value, and how old it is.
+/// An encoded claim to publish: the key and value of the fact, and the age of the evidence.
 pub type EncodedClaim = (Vec<u8>, Vec<u8>, Micros);
 
-struct Spoken {
+struct PublishedClaim {
     claim: Claim,
-    /// By what it was found, and when it was said.
-    found: Micros,
-    spoken: Micros,
+    /// The time of the latest evidence for the claim.
+    evidence_at: Micros,
+    published_at: Micros,
 }
 
-/// What one pool's module says and hears.
+/// The claims that this member published about one pool, and the verdicts that the pool's module received.
 pub struct VerdictExchange {
     pool: u64,
     classes: Vec<u64>,
-    /// The hashes of its nodes' names, by number, and back.
+    /// The hashes of the names of the pool's nodes by their numbers, and the numbers by the hashes.
     nodes: Vec<u64>,
     numbers: FxHashMap<u64, ServerId>,
-    spoken: FxHashMap<Subject, Spoken>,
-    told: FxHashMap<Subject, (ServerId, Option<ClassId>, Hearsay)>,
+    published: FxHashMap<Subject, PublishedClaim>,
+    active: FxHashMap<Subject, (ServerId, Option<ClassId>, Hearsay)>,
 }
 
-/// A call that is out for this part of the time that makes one sure: five times what it was expected to take, where
-/// an answer of exponential time takes longer once in 150.
-const SILENT: f64 = 0.4;
-/// A node whose outlier score is this is ejected, where there are not too many of them.
-const DOUBTED: f64 = 0.4;
-/// What several such voices come to: enough to be ejected by.
-const SILENT_BAD: f64 = 0.6;
-/// Evidence that is renewed is said again after this part of the bound on ages.
-const RENEWED: i64 = 8;
-/// A verdict that changes by less need not be told anew.
-const CHANGE: f64 = 0.1;
-
-/// Whether this member has reason to think that a node, or the way there, is bad. More are than are ejected: of these there
-/// is a most, and a call that is out is soon called off. It lasts until the node has answered well.
-fn is_doubted(o: &Opinion) -> bool {
-    o.bad > 0.0 || o.silent >= SILENT || (o.score >= DOUBTED && o.ok_at < o.at)
+/// A node is claimed to be silent if a call to it has been outstanding for this fraction of the time after
+/// which one member alone is sure. This is five times the expected duration, which an exponentially
+/// distributed response time exceeds once in 150 calls.
+const SILENT_THRESHOLD: f64 = 0.4;
+/// The outlier score from which a node is ejected, unless too many nodes are.
+const DOUBT_SCORE: f64 = 0.4;
+/// The severity of a claim that a node is silent. If enough members make the claim, it suffices for an
+/// ejection.
+const SILENT_SEVERITY: f64 = 0.6;
+/// A claim with new evidence is published again after the maximum age divided by this number.
+const REPUBLISH_DIVISOR: i64 = 8;
+/// A change of the severity by no more than this is not published or passed on.
+const MIN_SEVERITY_CHANGE: f64 = 0.1;
+
+/// Whether this member has reason to believe that a node, or the network path to it, is impaired. This
+/// applies to more nodes than are ejected, because the number of ejected nodes is bounded and an outstanding
+/// call is soon cancelled. It lasts until the node has answered successfully.
+fn is_doubted(opinion: &Opinion) -> bool {
+    opinion.bad > 0.0
+        || opinion.silent >= SILENT_THRESHOLD
+        || (opinion.score >= DOUBT_SCORE && opinion.ok_at < opinion.at)
 }
 
 impl VerdictExchange {
-    /// For the pool of this name, with these classes.
+    /// Creates the exchange for the pool with this name and these classes.
     pub fn new(pool: &str, classes: &[String]) -> VerdictExchange {
         VerdictExchange {
             pool: name_hash(pool),
             classes: classes.iter().map(|c| name_hash(c)).collect(),
             nodes: Vec::new(),
             numbers: FxHashMap::default(),
-            spoken: FxHashMap::default(),
-            told: FxHashMap::default(),
+            published: FxHashMap::default(),
+            active: FxHashMap::default(),
         }
     }
 
-    /// Of how many nodes the names were met.
+    /// The number of nodes whose names are registered.
     pub fn known_node_count(&self) -> usize {
         self.nodes.len()
     }
@@ -67,12 +73,13 @@
         self.pool
     }
 
-    /// The number of a node, as far as its name was met.
+    /// The number of the node whose name has this hash, or `None` if the name is not registered.
     pub fn server_by_hash(&self, hash: u64) -> Option<ServerId> {
         self.numbers.get(&hash).copied()
     }
 
-    /// What is to be said anew; `name` tells a node's.
+    /// Returns the claims that have to be published because they are new, changed or renewed. `name` returns
+    /// the name of a node.
     pub fn collect_claims<'n>(
         &mut self,
         now: Micros,
@@ -81,102 +88,116 @@
         name: impl Fn(ServerId) -> &'n str,
     ) -> Vec<EncodedClaim> {
         let opinions = &findings.opinions;
-        let mut nodes: Vec<u32> = opinions.iter().filter(|o| is_doubted(o)).map(|o| o.server.0).collect();
+        let mut nodes: Vec<u32> =
+            opinions.iter().filter(|opinion| is_doubted(opinion)).map(|opinion| opinion.server.0).collect();
         nodes.dedup();
-        // Most of them bad: the broken link is this member's own.
-        let silent = own_fault(nodes.len(), findings.sends_to);
-        let mut sayings = Vec::new();
-        for o in opinions {
-            let subject = self.subject(o, &name);
-            let before = self.spoken.get(&subject);
-            // Where nothing ever came back, a node that is sick and a way that is broken look the same.
-            let is_reached = o.answered && !o.unreachable;
-            let found = match (o.bad > 0.0, is_reached) {
-                (true, false) => Some((NodeCondition::Unreachable, o.bad, o.at)),
-                (true, true) => Some((NodeCondition::Sick, o.bad, o.at)),
-                // It is silent now.
-                (false, _) if o.silent >= SILENT && o.answered => {
-                    Some((NodeCondition::Silent, SILENT_BAD, now))
+        // If most nodes of the pool appear impaired, the fault is this member's own, and it makes no claims.
+        let has_own_fault = is_own_fault(nodes.len(), findings.sends_to);
+        let mut claims = Vec::new();
+        for opinion in opinions {
+            let subject = self.subject(opinion, &name);
+            let before = self.published.get(&subject);
+            // If no answer ever arrived from a node, a sick node can't be distinguished from a broken network
+            // path.
+            let is_reached = opinion.answered && !opinion.unreachable;
+            let found = match (opinion.bad > 0.0, is_reached) {
+                (true, false) => Some((NodeCondition::Unreachable, opinion.bad, opinion.at)),
+                (true, true) => Some((NodeCondition::Sick, opinion.bad, opinion.at)),
+                // The node is silent at this moment, so the evidence has no age.
+                (false, _) if opinion.silent >= SILENT_THRESHOLD && opinion.answered => {
+                    Some((NodeCondition::Silent, SILENT_SEVERITY, now))
                 }
                 _ => None,
             };
-            if let Some((condition, severity, at)) = found.filter(|_| !silent) {
+            if let Some((condition, severity, at)) = found.filter(|_| !has_own_fault) {
                 let claim = Claim { condition, severity };
-                let again = before.is_none_or(|b| {
-                    b.claim.condition != condition
-                        || (b.claim.severity - severity).abs() > CHANGE
-                        || (at > b.found && now - b.spoken >= Micros(max_age.0 / RENEWED))
+                let has_changed = before.is_none_or(|published| {
+                    published.claim.condition != condition
+                        || (published.claim.severity - severity).abs() > MIN_SEVERITY_CHANGE
+                        || (at > published.evidence_at
+                            && now - published.published_at >= Micros(max_age.0 / REPUBLISH_DIVISOR))
                 });
-                if again {
-                    self.spoken.insert(subject, Spoken { claim, found: at, spoken: now });
-                    sayings.push((subject.to_key(), claim.to_value(), now - at));
+                if has_changed {
+                    self.published
+                        .insert(subject, PublishedClaim { claim, evidence_at: at, published_at: now });
+                    claims.push((subject.to_key(), claim.to_value(), now - at));
                 }
             } else if before.is_some() {
-                // As old as the answer that says so: one that was let back in by hearsay proves nothing.
-                self.spoken.remove(&subject);
+                // The age is that of the node's latest good answer, because the readmission of a node on
+                // remote reports does not show that it is well.
+                self.published.remove(&subject);
                 let claim = Claim { condition: NodeCondition::Well, severity: 0.0 };
-                sayings.push((subject.to_key(), claim.to_value(), now - o.ok_at));
+                claims.push((subject.to_key(), claim.to_value(), now - opinion.ok_at));
             }
         }
-        self.spoken.retain(|_, s| now - s.found < max_age + max_age);
-        sayings
+        self.published.retain(|_, published| now - published.evidence_at < max_age + max_age);
+        claims
     }
 
-    /// What the module is to hear anew. `since` tells when a node started, as the list here has it.
+    /// Returns the remote reports that the module has to receive because they are new, changed or withdrawn.
+    /// `since` returns the time at which a node started, as given in this member's list of upstreams.
     pub fn update_verdicts(
         &mut self,
         now: Micros,
-        priors: &[MergedVerdict],
+        verdicts: &[MergedVerdict],
         since: impl Fn(ServerId) -> Option<Micros>,
     ) -> Vec<Hearsay> {
-        let mut heard = Vec::new();
-        let mut left = std::mem::take(&mut self.told);
-        for p in priors.iter().filter(|p| p.subject.pool == self.pool) {
-            let Some(server) = self.server_by_hash(p.subject.node) else { continue };
-            let class = match p.subject.class {
+        let mut updates = Vec::new();
+        let mut remaining = std::mem::take(&mut self.active);
+        for verdict in verdicts.iter().filter(|verdict| verdict.subject.pool == self.pool) {
+            let Some(server) = self.server_by_hash(verdict.subject.node) else { continue };
+            let class = match verdict.subject.class {
                 0 => None,
-                c => match self.classes.iter().position(|k| *k == c) {
-                    Some(at) => Some(ClassId(at as u32)),
+                hash => match self.classes.iter().position(|class| *class == hash) {
+                    Some(index) => Some(ClassId(index as u32)),
                     None => continue,
                 },
             };
-            // A node that started anew is not the one that was spoken of.
-            if Subject::encode_start(since(server)) != p.subject.started_at_us {
+            // The verdict does not apply to a node that has restarted since.
+            if Subject::encode_start(since(server)) != verdict.subject.started_at_us {
                 continue;
             }
-            let new = Hearsay { server, class, bad: p.severity, at: now - p.age, tries: p.probes_node };
-            let before = left.remove(&p.subject).map(|(_, _, h)| h);
+            let new = Hearsay {
+                server,
+                class,
+                bad: verdict.severity,
+                at: now - verdict.age,
+                tries: verdict.probes_node,
+            };
+            let before = remaining.remove(&verdict.subject).map(|(_, _, h)| h);
             let same = before.filter(|b| {
-                b.tries == new.tries && (b.bad - new.bad).abs() <= CHANGE && new.at - b.at < Micros(100_000)
+                b.tries == new.tries
+                    && (b.bad - new.bad).abs() <= MIN_SEVERITY_CHANGE
+                    && new.at - b.at < Micros(100_000)
             });
             if same.is_none() {
-                heard.push(new);
+                updates.push(new);
             }
-            self.told.insert(p.subject, (server, class, same.unwrap_or(new)));
+            self.active.insert(verdict.subject, (server, class, same.unwrap_or(new)));
         }
-        // What nobody says any more, or not recently enough, is taken back.
-        for (server, class, before) in left.into_values() {
-            heard.push(Hearsay { server, class, bad: 0.0, at: now, tries: before.tries });
+        // Verdicts that are no longer supported by recent claims are withdrawn.
+        for (server, class, before) in remaining.into_values() {
+            updates.push(Hearsay { server, class, bad: 0.0, at: now, tries: before.tries });
         }
-        heard
+        updates
     }
 
-    /// What the module goes by now, of others' words.
+    /// The verdicts of other members that the module currently applies.
     pub fn active_verdicts(&self) -> impl Iterator<Item = &Hearsay> {
-        self.told.values().map(|(_, _, h)| h)
+        self.active.values().map(|(_, _, h)| h)
     }
 
-    fn subject<'n>(&mut self, o: &Opinion, name: &impl Fn(ServerId) -> &'n str) -> Subject {
-        self.register_nodes(o.server.0 as usize + 1, name);
-        let class = o.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
-        let node = self.nodes[o.server.0 as usize];
-        Subject { pool: self.pool, node, started_at_us: Subject::encode_start(o.since), class }
+    fn subject<'n>(&mut self, opinion: &Opinion, name: &impl Fn(ServerId) -> &'n str) -> Subject {
+        self.register_nodes(opinion.server.0 as usize + 1, name);
+        let class = opinion.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
+        let node = self.nodes[opinion.server.0 as usize];
+        Subject { pool: self.pool, node, started_at_us: Subject::encode_start(opinion.since), class }
     }
 
-    /// Learns the names of nodes up to this number; numbers are not given out again.
-    pub fn register_nodes<'n>(&mut self, most: usize, name: &impl Fn(ServerId) -> &'n str) {
-        for n in self.nodes.len()..most {
-            let id = ServerId(n as u32);
+    /// Registers the names of the nodes with numbers below `count`. Numbers are never reused.
+    pub fn register_nodes<'n>(&mut self, count: usize, name: &impl Fn(ServerId) -> &'n str) {
+        for number in self.nodes.len()..count {
+            let id = ServerId(number as u32);
             let hash = name_hash(name(id));
             self.nodes.push(hash);
             self.numbers.insert(hash, id);
--- a/crates/verdicts/src/exchange_tests.rs
+++ b/crates/verdicts/src/exchange_tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the exchange of opinions: when a finding is told, renewed and ended, and hearsay.
+//! Tests of the exchange of verdicts: when a claim is published, renewed and ended, and when a remote report
+//! is passed on to the module.
 
 use super::*;
 
-const AGE: Micros = Micros(20_000_000);
+const MAX_AGE: Micros = Micros(20_000_000);
 
 fn opinion(bad: f64, at: i64, ok_at: i64) -> Opinion {
     let (server, since, class) = (ServerId(0), None, None);
@@ -24,57 +25,67 @@
     Findings { sends_to, opinions: opinions.to_vec() }
 }
 
-fn said(e: &mut VerdictExchange, now: i64, o: Opinion, sends_to: usize) -> Vec<(Claim, i64)> {
-    let sayings = e.collect_claims(Micros(now), &findings(sends_to, &[o]), AGE, |_| "n");
-    sayings.into_iter().map(|(_, v, age)| (Claim::from_value(&v).unwrap(), age.0)).collect()
+fn published_claims(
+    exchange: &mut VerdictExchange,
+    now: i64,
+    opinion: Opinion,
+    sends_to: usize,
+) -> Vec<(Claim, i64)> {
+    let claims = exchange.collect_claims(Micros(now), &findings(sends_to, &[opinion]), MAX_AGE, |_| "n");
+    claims.into_iter().map(|(_, v, age)| (Claim::from_value(&v).unwrap(), age.0)).collect()
 }
 
 #[test]
-fn a_finding_is_said_once_renewed_by_evidence_and_ended_by_a_good_answer() {
-    let mut e = VerdictExchange::new("p", &[]);
-    let first = said(&mut e, 1_000, opinion(0.8, 900, 0), 10);
+fn a_claim_is_published_once_renewed_by_evidence_and_ended_by_a_good_answer() {
+    let mut exchange = VerdictExchange::new("p", &[]);
+    let first = published_claims(&mut exchange, 1_000, opinion(0.8, 900, 0), 10);
     assert_eq!((first.len(), first[0].0.condition, first[0].1), (1, NodeCondition::Sick, 100));
-    assert_eq!(said(&mut e, 2_000, opinion(0.8, 900, 0), 10), []);
-    // No new evidence: it grows old, whatever time passes.
-    assert_eq!(said(&mut e, 10_000_000, opinion(0.8, 900, 0), 10), []);
-    assert_eq!(said(&mut e, 10_000_100, opinion(0.8, 10_000_000, 0), 10).len(), 1);
-    let well = said(&mut e, 11_000_000, opinion(0.0, 10_900_000, 10_900_000), 10);
+    assert_eq!(published_claims(&mut exchange, 2_000, opinion(0.8, 900, 0), 10), []);
+    // Without new evidence the claim is not published again, however much time passes.
+    assert_eq!(published_claims(&mut exchange, 10_000_000, opinion(0.8, 900, 0), 10), []);
+    assert_eq!(published_claims(&mut exchange, 10_000_100, opinion(0.8, 10_000_000, 0), 10).len(), 1);
+    let well = published_claims(&mut exchange, 11_000_000, opinion(0.0, 10_900_000, 10_900_000), 10);
     assert_eq!((well.len(), well[0].0.condition, well[0].1), (1, NodeCondition::Well, 100_000));
-    assert_eq!(said(&mut e, 12_000_000, opinion(0.0, 10_900_000, 10_900_000), 10), []);
+    assert_eq!(published_claims(&mut exchange, 12_000_000, opinion(0.0, 10_900_000, 10_900_000), 10), []);
 }
 
 #[test]
-fn hearsay_is_told_once_taken_back_once_and_never_of_another_life() {
-    let mut e = VerdictExchange::new("p", &[]);
-    e.register_nodes(1, &|_| "n");
+fn remote_reports_are_passed_on_once_withdrawn_once_and_never_for_a_restarted_node() {
+    let mut exchange = VerdictExchange::new("p", &[]);
+    exchange.register_nodes(1, &|_| "n");
     let subject = Subject { pool: name_hash("p"), node: name_hash("n"), started_at_us: 5, class: 0 };
-    let prior = MergedVerdict { subject, severity: 0.9, age: Micros(10), probes_node: false };
-    assert_eq!(e.update_verdicts(Micros(100), &[prior], |_| Some(Micros(6))), []);
-    let told = e.update_verdicts(Micros(100), &[prior], |_| Some(Micros(5)));
-    assert_eq!((told.len(), told[0].bad, told[0].at), (1, 0.9, Micros(90)));
+    let verdict = MergedVerdict { subject, severity: 0.9, age: Micros(10), probes_node: false };
+    assert_eq!(exchange.update_verdicts(Micros(100), &[verdict], |_| Some(Micros(6))), []);
+    let reports = exchange.update_verdicts(Micros(100), &[verdict], |_| Some(Micros(5)));
+    assert_eq!((reports.len(), reports[0].bad, reports[0].at), (1, 0.9, Micros(90)));
     assert_eq!(
-        e.update_verdicts(Micros(200), &[MergedVerdict { age: Micros(110), ..prior }], |_| Some(Micros(5))),
+        exchange.update_verdicts(Micros(200), &[MergedVerdict { age: Micros(110), ..verdict }], |_| Some(
+            Micros(5)
+        )),
         []
     );
     assert_eq!(
-        e.update_verdicts(Micros(200), &[MergedVerdict { probes_node: true, ..prior }], |_| Some(Micros(5)))
+        exchange
+            .update_verdicts(Micros(200), &[MergedVerdict { probes_node: true, ..verdict }], |_| Some(
+                Micros(5)
+            ))
             .len(),
         1
     );
-    let back = e.update_verdicts(Micros(300), &[], |_| Some(Micros(5)));
-    assert_eq!((back.len(), back[0].bad), (1, 0.0));
-    assert_eq!(e.update_verdicts(Micros(300), &[], |_| Some(Micros(5))), []);
+    let withdrawn = exchange.update_verdicts(Micros(300), &[], |_| Some(Micros(5)));
+    assert_eq!((withdrawn.len(), withdrawn[0].bad), (1, 0.0));
+    assert_eq!(exchange.update_verdicts(Micros(300), &[], |_| Some(Micros(5))), []);
 }
 
-/// Guards against a member with a broken way to most nodes that is a second voice against each: it has no answer from these,
-/// so it can't tell a node that is sick from a way that is broken. In drills m4, which reaches three nodes of nine, said
-/// `silent` and `sick` of n7 within 0.2 s of the only member that had ejected it, by mistake; and so did m3 of n1 and n2,
-/// which it never reached.
+/// Guards against a member with broken network paths to most nodes that confirms another member's claim on
+/// each of them. It has no answer from these nodes, so it can't distinguish a sick node from a broken path.
+/// In drills, m4, which reaches three nodes of nine, claimed that n7 was `silent` and `sick` within 0.2 s of
+/// the only member that had ejected n7, by mistake; m3 did the same for n1 and n2, which it never reached.
 #[test]
-fn a_node_that_never_answered_is_no_sick_one_but_one_that_cannot_be_reached() {
-    let what = |o: Opinion| -> Vec<NodeCondition> {
-        let said = said(&mut VerdictExchange::new("p", &[]), 1_000, o, 10);
-        said.into_iter().map(|(claim, _)| claim.condition).collect()
+fn a_node_that_never_answered_is_claimed_to_be_unreachable_not_sick() {
+    let conditions = |o: Opinion| -> Vec<NodeCondition> {
+        let claims = published_claims(&mut VerdictExchange::new("p", &[]), 1_000, o, 10);
+        claims.into_iter().map(|(claim, _)| claim.condition).collect()
     };
     let silent = Opinion { silent: 1.0, ..opinion(0.0, 900, 0) };
     let refused = Opinion { unreachable: true, ..opinion(0.8, 900, 0) };
@@ -83,15 +94,16 @@
         (silent, vec![NodeCondition::Silent], vec![]),
         (refused, vec![NodeCondition::Unreachable], vec![NodeCondition::Unreachable]),
     ] {
-        assert_eq!(what(o), answered, "{o:?}");
-        assert_eq!(what(Opinion { answered: false, ..o }), never, "{o:?}");
+        assert_eq!(conditions(o), answered, "{o:?}");
+        assert_eq!(conditions(Opinion { answered: false, ..o }), never, "{o:?}");
     }
 }
 
-/// A member whose way to most nodes breaks later ejects a third of them at the most, and has few calls out: its own fault
-/// shows in the scores, and lasts until these nodes have answered.
+/// A member whose network paths to most nodes break later ejects at most a third of the nodes and has few
+/// outstanding calls. Its own fault is recognised by the outlier scores, and lasts until these nodes have
+/// answered.
 #[test]
-fn a_fault_of_ones_own_shows_in_scores_and_lasts_until_nodes_answer() {
+fn an_own_fault_is_recognised_by_scores_and_lasts_until_nodes_answer() {
     const NODES: u32 = 9;
     let of = |n: u32, score: f64, ejected: bool, ok_at: i64| Opinion {
         server: ServerId(n),
@@ -100,17 +112,17 @@
         ..opinion(0.0, 900, ok_at)
     };
     let names: Vec<String> = (0..NODES).map(|n| format!("n{n}")).collect();
-    let say = |e: &mut VerdictExchange, now: i64, opinions: &[Opinion]| {
+    let claim_count = |exchange: &mut VerdictExchange, now: i64, opinions: &[Opinion]| {
         let findings = findings(NODES as usize, opinions);
-        let said = e.collect_claims(Micros(now), &findings, AGE, |id| &names[id.0 as usize]);
-        said.len()
+        let claims = exchange.collect_claims(Micros(now), &findings, MAX_AGE, |id| &names[id.0 as usize]);
+        claims.len()
     };
-    // Two ejected, three more that have failed all that they got since they answered last.
+    // Two nodes are ejected, and three more have failed all calls since their latest good answer.
     let doubted: Vec<Opinion> = (0..5).map(|n| of(n, 0.6, n < 2, 100)).collect();
-    let mut e = VerdictExchange::new("p", &[]);
-    assert_eq!(say(&mut e, 1_000, &doubted), 0);
-    // One of them answers: four of nine are no fault of this member's.
+    let mut exchange = VerdictExchange::new("p", &[]);
+    assert_eq!(claim_count(&mut exchange, 1_000, &doubted), 0);
+    // One of them answers: four impaired nodes of nine are not taken for this member's own fault.
     let mut answered = doubted.clone();
     answered[4] = of(4, 0.3, false, 950);
-    assert_eq!(say(&mut e, 2_000, &answered), 2);
+    assert_eq!(claim_count(&mut exchange, 2_000, &answered), 2);
 }
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the balancers of a fleet say of nodes, and what follows from it for one of them (docs/design/fleet.md).
+//! The claims that the balancers of a fleet publish about nodes, and the verdicts that one balancer derives
+//! from them (docs/design/fleet.md).
 //!
-//! Each member says what its own module has found out by its own requests: never what it has heard. [`VerdictExchange`] turns
-//! opinions of a module into claims, and the claims of all into hearsay for the module, by [`merge_claims`]. Ages alone are
-//! carried; nothing here knows a clock or a link.
+//! Each member publishes only what its own decision module found out by its own requests, never what others
+//! reported. [`VerdictExchange`] turns the opinions of a module into claims, and the verdicts that
+//! [`merge_claims`] derives from the claims of all members into remote reports for the module. Claims carry
+//! ages rather than times, and this crate uses neither a clock nor a link.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
