--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -157,8 +157,9 @@
     pub stalls: u32,
 }
 
-/// A pull that was sent to the member with this life and awaits its answer.
+/// A pull that awaits its answer.
 struct PendingPull {
+    /// The life of the member to which the pull was sent.
     life: u64,
     sent_at: Micros,
 }
--- a/crates/peers/src/seal_tests.rs
+++ b/crates/peers/src/seal_tests.rs
@@ -15,27 +15,27 @@
 
 /// Two sealers that have each other's tokens.
 fn pair() -> (Sealer, Sealer) {
-    let (mut a, mut b) = (sealer(1, KEY_ONE), sealer(2, KEY_ONE));
-    let (to_a, to_b) = (a.token_for(2, address(2)), b.token_for(1, address(1)));
-    a.learn_token(address(2), to_b);
-    b.learn_token(address(1), to_a);
-    (a, b)
+    let (mut first, mut second) = (sealer(1, KEY_ONE), sealer(2, KEY_ONE));
+    let (to_first, to_second) = (first.token_for(2, address(2)), second.token_for(1, address(1)));
+    first.learn_token(address(2), to_second);
+    second.learn_token(address(1), to_first);
+    (first, second)
 }
 
 #[test]
 fn every_truncation_and_every_flipped_bit_is_rejected() {
-    let (mut a, mut b) = pair();
-    let whole = a.seal(address(2), Kind::Swim, b"body");
+    let (mut first, mut second) = pair();
+    let whole = first.seal(address(2), Kind::Swim, b"body");
     for n in 0..whole.len() {
-        assert!(b.open(&whole[..n]).is_err(), "cut at {n}");
+        assert!(second.open(&whole[..n]).is_err(), "cut at {n}");
         for bit in 0..8 {
             let mut bad = whole.clone();
             bad[n] ^= 1 << bit;
-            assert!(b.open(&bad).is_err(), "bit {bit} of {n}");
+            assert!(second.open(&bad).is_err(), "bit {bit} of {n}");
         }
     }
-    assert_eq!(b.open(&vec![MAGIC; MAX_DATAGRAM_BYTES + 1]).unwrap_err(), RejectReason::Malformed);
-    let opened = b.open(&whole).unwrap();
+    assert_eq!(second.open(&vec![MAGIC; MAX_DATAGRAM_BYTES + 1]).unwrap_err(), RejectReason::Malformed);
+    let opened = second.open(&whole).unwrap();
     assert!(
         opened.has_valid_token
             && opened.kind == Kind::Swim
@@ -48,32 +48,32 @@
 /// such.
 #[test]
 fn another_version_is_distinguished_from_malformed_input() {
-    let (mut a, mut b) = pair();
-    let mut newer = a.seal(address(2), Kind::Swim, b"body");
+    let (mut first, mut second) = pair();
+    let mut newer = first.seal(address(2), Kind::Swim, b"body");
     newer[1] = FORMAT_VERSION + 1;
-    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Version);
+    assert_eq!(second.open(&newer).unwrap_err(), RejectReason::Version);
     newer[0] = 0;
-    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Malformed);
+    assert_eq!(second.open(&newer).unwrap_err(), RejectReason::Malformed);
 }
 
 #[test]
 fn repeated_datagrams_are_rejected_and_reordered_ones_are_accepted() {
-    let (mut a, mut b) = pair();
-    let sent: Vec<_> = (0..70).map(|_| a.seal(address(2), Kind::Pull, b"x")).collect();
+    let (mut first, mut second) = pair();
+    let sent: Vec<_> = (0..70).map(|_| first.seal(address(2), Kind::Pull, b"x")).collect();
     for i in [5, 3, 4, 69, 68, 10] {
-        assert!(b.open(&sent[i]).is_ok(), "{i}");
+        assert!(second.open(&sent[i]).is_ok(), "{i}");
     }
     for i in [5, 3, 4, 69, 68, 10, 0] {
-        assert_eq!(b.open(&sent[i]).unwrap_err(), RejectReason::Replayed, "{i}");
+        assert_eq!(second.open(&sent[i]).unwrap_err(), RejectReason::Replayed, "{i}");
     }
 }
 
 /// Guards against a recorded datagram being replayed to a restarted process, or to another one.
 #[test]
 fn a_recorded_datagram_has_no_valid_token_for_another_life_or_member() {
-    let (mut a, mut b) = pair();
-    let recorded = a.seal(address(2), Kind::Swim, b"x");
-    assert!(b.open(&recorded).unwrap().has_valid_token);
+    let (mut first, mut second) = pair();
+    let recorded = first.seal(address(2), Kind::Swim, b"x");
+    assert!(second.open(&recorded).unwrap().has_valid_token);
     let mut again = Sealer::new(Keys::parse(KEY_ONE).unwrap(), 20, address(2), [99; 32], 4);
     assert!(!again.open(&recorded).unwrap().has_valid_token);
     assert!(!sealer(3, KEY_ONE).open(&recorded).unwrap().has_valid_token);
@@ -82,21 +82,22 @@
 /// A key is rotated in three steps, and at each step every member understands every other.
 #[test]
 fn members_understand_each_other_at_each_step_of_a_key_rotation() {
-    let (mut a, mut b) = pair();
+    let (mut first, mut second) = pair();
     let (both, other) = (format!("{KEY_ONE}\n{KEY_TWO}"), format!("{KEY_TWO} # new\n{KEY_ONE}"));
-    for (ka, kb) in
+    for (first_keys, second_keys) in
         [(KEY_ONE, both.as_str()), (&both, &both), (&other, &both), (&other, &other), (KEY_TWO, &other)]
     {
-        a.replace_keys(Keys::parse(ka).unwrap());
-        b.replace_keys(Keys::parse(kb).unwrap());
-        let (there, back) = (a.seal(address(2), Kind::Swim, b"x"), b.seal(address(1), Kind::Swim, b"x"));
+        first.replace_keys(Keys::parse(first_keys).unwrap());
+        second.replace_keys(Keys::parse(second_keys).unwrap());
+        let (there, back) =
+            (first.seal(address(2), Kind::Swim, b"x"), second.seal(address(1), Kind::Swim, b"x"));
         assert!(
-            b.open(&there).unwrap().has_valid_token && a.open(&back).unwrap().has_valid_token,
-            "{ka:?} {kb:?}"
+            second.open(&there).unwrap().has_valid_token && first.open(&back).unwrap().has_valid_token,
+            "{first_keys:?} {second_keys:?}"
         );
     }
-    b.replace_keys(Keys::parse(KEY_ONE).unwrap());
-    assert_eq!(b.open(&a.seal(address(2), Kind::Swim, b"x")).unwrap_err(), RejectReason::Key);
+    second.replace_keys(Keys::parse(KEY_ONE).unwrap());
+    assert_eq!(second.open(&first.seal(address(2), Kind::Swim, b"x")).unwrap_err(), RejectReason::Key);
 }
 
 #[test]
@@ -110,12 +111,12 @@
 /// The state stored for senders does not grow beyond its bound as their number grows.
 #[test]
 fn memory_for_senders_is_bounded() {
-    let mut b = sealer(2, KEY_ONE);
+    let mut receiver = sealer(2, KEY_ONE);
     for boot in 10..100 {
-        let mut a = sealer(boot, KEY_ONE);
-        a.learn_token(address(2), b.token_for(boot, address(boot as u16)));
-        assert!(b.open(&a.seal(address(2), Kind::Swim, b"x")).unwrap().has_valid_token);
-        b.learn_token(address(boot as u16), 1);
+        let mut sender = sealer(boot, KEY_ONE);
+        sender.learn_token(address(2), receiver.token_for(boot, address(boot as u16)));
+        assert!(receiver.open(&sender.seal(address(2), Kind::Swim, b"x")).unwrap().has_valid_token);
+        receiver.learn_token(address(boot as u16), 1);
     }
-    assert!(b.seen.len() <= 4 && b.tokens.len() <= 4);
+    assert!(receiver.seen.len() <= 4 && receiver.tokens.len() <= 4);
 }
--- a/crates/peers/src/swim.rs
+++ b/crates/peers/src/swim.rs
@@ -26,7 +26,8 @@
 const REJOIN_CONTACTS: usize = 5;
 /// The number of members that are requested to probe a member indirectly.
 const INDIRECT_PROBES: usize = 3;
-/// The number of members that ping a suspect because they received the suspicion from others.
+/// The number of members that ping a suspect on behalf of the fleet, although their own probes of it did not
+/// fail.
 const DELEGATED_PINGERS: usize = 3;
 /// The probe number of a ping that is sent for the incarnation in its answer and belongs to no probe in
 /// progress.
@@ -175,8 +176,8 @@
     }
 }
 
-pub(crate) fn micros(d: Duration) -> Micros {
-    Micros(d.as_micros().min(i64::MAX as u128) as i64)
+pub(crate) fn micros(duration: Duration) -> Micros {
+    Micros(duration.as_micros().min(i64::MAX as u128) as i64)
 }
 
 /// One member's view of the membership of the fleet.
--- a/crates/peers/tests/datagrams.rs
+++ b/crates/peers/tests/datagrams.rs
@@ -21,7 +21,7 @@
     Peers::new(settings, keys, [port as u8; 32], Micros(0))
 }
 
-fn sends(peers: &mut Peers) -> Vec<(SocketAddr, Vec<u8>)> {
+fn take_sends(peers: &mut Peers) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut all = Vec::new();
     while let Some(output) = peers.poll() {
         if let Output::Send(to, data) = output {
@@ -32,41 +32,41 @@
 }
 
 /// Runs two members that exchange a fact, and returns them with every datagram that they sent.
-fn recorded(keys: bool) -> (Peers, Peers, Vec<Vec<u8>>) {
-    let (mut a, mut b) = (member(1, &[2], keys), member(2, &[1], keys));
+fn record_exchange(keys: bool) -> (Peers, Peers, Vec<Vec<u8>>) {
+    let (mut first, mut second) = (member(1, &[2], keys), member(2, &[1], keys));
     let mut all = Vec::new();
     for ms in 0..3_000 {
         let now = Micros(ms * 1_000);
         if ms == 1_000 {
-            a.publish(now, b"key", b"value", Micros(5));
+            first.publish(now, b"key", b"value", Micros(5));
         }
-        for (p, other) in [(&mut a, 2), (&mut b, 1)] {
-            if p.next_timeout() <= now {
-                let _ = p.handle(now, Input::Wake);
+        for (peers, other) in [(&mut first, 2), (&mut second, 1)] {
+            if peers.next_timeout() <= now {
+                let _ = peers.handle(now, Input::Wake);
             }
             let _ = other;
         }
         for _ in 0..4 {
-            let (from_a, from_b) = (sends(&mut a), sends(&mut b));
-            all.extend(from_a.iter().chain(&from_b).map(|(_, d)| d.clone()));
-            from_a.iter().filter(|(to, _)| to.port() == 2).for_each(|(_, d)| {
-                let _ = b.handle(now, Input::Datagram(d));
+            let (from_first, from_second) = (take_sends(&mut first), take_sends(&mut second));
+            all.extend(from_first.iter().chain(&from_second).map(|(_, d)| d.clone()));
+            from_first.iter().filter(|(to, _)| to.port() == 2).for_each(|(_, d)| {
+                let _ = second.handle(now, Input::Datagram(d));
             });
-            from_b.iter().filter(|(to, _)| to.port() == 1).for_each(|(_, d)| {
-                let _ = a.handle(now, Input::Datagram(d));
+            from_second.iter().filter(|(to, _)| to.port() == 1).for_each(|(_, d)| {
+                let _ = first.handle(now, Input::Datagram(d));
             });
         }
     }
     assert!(
-        a.alive_count() == 2 && b.facts(Micros(3_000_000)).count() == 1,
+        first.alive_count() == 2 && second.facts(Micros(3_000_000)).count() == 1,
         "the two members did not find each other"
     );
-    (a, b, all)
+    (first, second, all)
 }
 
 fn assert_bounded_reaction(peers: &mut Peers, now: Micros, data: &[u8]) {
     let _ = peers.handle(now, Input::Datagram(data));
-    let out: usize = sends(peers).iter().map(|(_, d)| d.len()).sum();
+    let out: usize = take_sends(peers).iter().map(|(_, d)| d.len()).sum();
     // The answer to a datagram that could be opened may be larger than it, but is bounded. That a challenge
     // is no larger than the datagram it answers is checked in
     // `datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers`.
@@ -78,7 +78,7 @@
 /// that two members exchange: complete, with a truncated body, and with an invalid body, each sealed with the
 /// well-known key.
 fn write_corpus(folder: &str) {
-    let (.., all) = recorded(false);
+    let (.., all) = record_exchange(false);
     let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
     for kind in 0..=4u8 {
         let Some(whole) = all.iter().find(|d| d[2] == kind) else { panic!("no datagram of kind {kind}") };
@@ -102,9 +102,9 @@
     let mut files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
     assert!(files.len() >= 8, "the corpus is incomplete");
-    let (mut a, ..) = recorded(false);
+    let (mut first, ..) = record_exchange(false);
     for file in files {
-        assert_bounded_reaction(&mut a, Micros(3_000_000), &std::fs::read(&file).unwrap());
+        assert_bounded_reaction(&mut first, Micros(3_000_000), &std::fs::read(&file).unwrap());
     }
 }
 
@@ -114,7 +114,7 @@
 fn modified_datagrams_cause_no_panic_and_no_growth_before_and_behind_the_mac_check() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     for keys in [true, false] {
-        let (mut a, _, all) = recorded(keys);
+        let (mut first, _, all) = record_exchange(keys);
         let now = Micros(3_000_000);
         let mut rejected = 0;
         for _ in 0..20_000 {
@@ -144,9 +144,9 @@
                 let mac = blake3::keyed_hash(&key, &data[..end]);
                 data[end..].copy_from_slice(&mac.as_bytes()[..16]);
             }
-            let before = a.counters().dropped;
-            assert_bounded_reaction(&mut a, now, &data);
-            rejected += u64::from(a.counters().dropped != before);
+            let before = first.counters().dropped;
+            assert_bounded_reaction(&mut first, now, &data);
+            rejected += u64::from(first.counters().dropped != before);
         }
         assert!(rejected > 5_000, "only {rejected} of 20000 datagrams were rejected");
     }
@@ -156,7 +156,7 @@
 /// machines.
 #[test]
 fn without_a_key_datagrams_are_sent_to_loopback_addresses_only() {
-    let (mut a, _, all) = recorded(false);
+    let (mut first, _, all) = record_exchange(false);
     let key = blake3::derive_key("garnettally fleet link, loopback without a key", b"");
     for ip in [[192, 0, 2, 7], [0, 0, 0, 0], [224, 0, 0, 1], [255, 255, 255, 255]] {
         for kind in 0..=4u8 {
@@ -170,11 +170,11 @@
             let mac = blake3::keyed_hash(&key, &data);
             data.extend(&mac.as_bytes()[..16]);
             assert_eq!(
-                a.handle(Micros(3_000_000), Input::Datagram(&data)),
+                first.handle(Micros(3_000_000), Input::Datagram(&data)),
                 Err(RejectReason::Origin),
                 "{ip:?} {kind}"
             );
-            assert_eq!(sends(&mut a), []);
+            assert_eq!(take_sends(&mut first), []);
         }
     }
 }
@@ -183,16 +183,16 @@
 /// memory.
 #[test]
 fn datagrams_of_many_unknown_lives_add_no_members_and_get_no_larger_answers() {
-    let (mut a, ..) = recorded(true);
+    let (mut first, ..) = record_exchange(true);
     for n in 0..2_000u16 {
         let mut stranger = member(10_000 + n, &[1], true);
         let _ = stranger.handle(Micros(0), Input::Wake);
-        for (_, data) in sends(&mut stranger) {
-            let _ = a.handle(Micros(3_000_000), Input::Datagram(&data));
-            let answer = sends(&mut a);
+        for (_, data) in take_sends(&mut stranger) {
+            let _ = first.handle(Micros(3_000_000), Input::Datagram(&data));
+            let answer = take_sends(&mut first);
             let bytes: usize = answer.iter().map(|(_, d)| d.len()).sum();
             assert!(bytes <= data.len(), "{bytes} bytes for {}", data.len());
         }
     }
-    assert_eq!(a.alive_count(), 2);
+    assert_eq!(first.alive_count(), 2);
 }
--- a/crates/peers/tests/faults.rs
+++ b/crates/peers/tests/faults.rs
@@ -11,8 +11,8 @@
     settings.max_age = Duration::from_secs(10);
 }
 
-fn saw_event(network: &Network, i: usize, what: impl Fn(&Event) -> bool) -> bool {
-    network.members[i].events.iter().any(what)
+fn saw_event(network: &Network, index: usize, predicate: impl Fn(&Event) -> bool) -> bool {
+    network.members[index].events.iter().any(predicate)
 }
 
 /// Guards against a simultaneous start of all members that leaves separate fleets, and against facts that do
@@ -34,8 +34,8 @@
 fn a_link_cut_in_one_direction_causes_no_death() {
     let mut network = Network::new(5, 2, max_age_10_s);
     network.run_until(20 * SECOND, |n| n.all_see_alive(5)).unwrap();
-    network.link(0, 1, Link { cut: true, ..RELIABLE });
-    network.link(3, 2, Link { cut: true, ..RELIABLE });
+    network.set_link(0, 1, Link { cut: true, ..RELIABLE });
+    network.set_link(3, 2, Link { cut: true, ..RELIABLE });
     network.members.iter_mut().for_each(|n| n.events.clear());
     network.run(30 * SECOND);
     assert!(
@@ -122,10 +122,10 @@
         for outer in (0..5).filter(|i| !cut_off.contains(i)) {
             let closed = Link { cut: true, ..RELIABLE };
             if !matches!(cut, CutDirection::In) {
-                network.link(inner, outer, closed);
+                network.set_link(inner, outer, closed);
             }
             if !matches!(cut, CutDirection::Out) {
-                network.link(outer, inner, closed);
+                network.set_link(outer, inner, closed);
             }
         }
     }
@@ -154,15 +154,15 @@
 /// concern members that never failed. `PEERS_SCHEDULES` sets a larger number of runs than in CI.
 #[test]
 fn after_a_cut_of_about_the_suspicion_timeout_no_member_declares_one_of_its_own_side_dead() {
-    let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
+    let run_count = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let mut broken = Vec::new();
     for cut_off in [&[4][..], &[3, 4]] {
         for cut in [CutDirection::Both, CutDirection::Out, CutDirection::In] {
             let deaths: Vec<usize> =
-                (0..n).map(|seed| deaths_within_a_side(7000 + seed, cut_off, cut)).collect();
+                (0..run_count).map(|seed| deaths_within_a_side(7000 + seed, cut_off, cut)).collect();
             let runs = deaths.iter().filter(|d| **d > 0).count();
             println!(
-                "{cut_off:?} {cut:?}: {runs} of {n} runs, {} false deaths",
+                "{cut_off:?} {cut:?}: {runs} of {run_count} runs, {} false deaths",
                 deaths.iter().sum::<usize>()
             );
             if runs > 0 {
@@ -170,11 +170,11 @@
             }
         }
     }
-    assert!(broken.is_empty(), "of {n} runs each: {broken:?}");
+    assert!(broken.is_empty(), "of {run_count} runs each: {broken:?}");
 }
 
-fn considers_dead(network: &Network, i: usize, other: usize) -> bool {
-    let peers = network.members[i].peers.as_ref().unwrap();
+fn considers_dead(network: &Network, index: usize, other: usize) -> bool {
+    let peers = network.members[index].peers.as_ref().unwrap();
     let mut others = peers.other_members();
     others.any(|(id, s)| s == MemberState::Down && id.address == address(other))
 }
@@ -207,10 +207,10 @@
 /// of docs/design/fleet.md: the time until the first probe, the suspicion time-out and half of it.
 #[test]
 fn a_death_is_known_to_all_within_the_bound() {
-    let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(40);
+    let run_count = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(40);
     for (members, loss) in [(5, 0.0), (20, 0.0), (5, 0.1)] {
         let mut took = Vec::new();
-        for seed in 0..n {
+        for seed in 0..run_count {
             let mut network = Network::new(members, 9000 + seed, drill_settings);
             network.run_until(20 * SECOND, |n| n.all_see_alive(members as u32)).unwrap();
             network.default_link = Link { loss, ..RELIABLE };
@@ -248,8 +248,8 @@
     network.resume(4);
     network.run_until(20 * SECOND, |n| n.all_see_alive(5)).expect("the member rejoins");
     assert!(saw_event(&network, 4, |e| matches!(e, Event::Rejoined(_))));
-    let p = network.members[4].peers.as_ref().unwrap();
-    assert!(p.counters().rejoins >= 1 && p.counters().stalls >= 1, "{:?}", p.counters());
+    let peers = network.members[4].peers.as_ref().unwrap();
+    assert!(peers.counters().rejoins >= 1 && peers.counters().stalls >= 1, "{:?}", peers.counters());
     network.run(5 * SECOND);
     assert!(
         !saw_event(&network, 4, |e| matches!(e, Event::MemberDown(_))),
@@ -267,12 +267,12 @@
     network
         .run_until(5 * SECOND, |n| (0..10).all(|i| n.true_ages(i).len() == 1))
         .expect("the fact reaches all members");
-    let mut seen = 0;
+    let mut alive_sum = 0;
     for _ in 0..60 {
         network.run(SECOND / 2);
-        seen += (0..10).map(|i| network.alive(i)).sum::<u32>();
+        alive_sum += (0..10).map(|i| network.alive(i)).sum::<u32>();
     }
-    assert!(seen >= 60 * 100 * 95 / 100, "{seen} of 6000");
+    assert!(alive_sum >= 60 * 100 * 95 / 100, "{alive_sum} of 6000");
 }
 
 /// Guards against a loss of most members that the remaining ones do not notice or after which they do not
@@ -389,7 +389,7 @@
                         duplication: 0.3,
                         delay: (100, most),
                     };
-                    network.link(a, b, link);
+                    network.set_link(a, b, link);
                 }
                 3 => network.split(&[0, 1]),
                 4 | 5 => {
@@ -435,15 +435,15 @@
 /// of runs than in CI.
 #[test]
 fn no_fact_is_used_beyond_the_bound_on_its_age_under_any_faults() {
-    let n = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
+    let run_count = std::env::var("PEERS_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let (mut checks, mut oldest) = (0, 0);
-    for seed in 0..n {
-        let (l, o) = run_random_schedule(1000 + seed);
-        (checks, oldest) = (checks + l, oldest.max(o));
+    for seed in 0..run_count {
+        let (run_checks, run_oldest) = run_random_schedule(1000 + seed);
+        (checks, oldest) = (checks + run_checks, oldest.max(run_oldest));
     }
     assert!(
         checks > 1000 && oldest > SECOND,
         "{checks} checks, oldest {oldest}: the schedules tested too little"
     );
-    println!("{n} schedules, {checks} checks, oldest {oldest} us of 3333333");
+    println!("{run_count} schedules, {checks} checks, oldest {oldest} us of 3333333");
 }
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/peers/tests/net/mod.rs
@@ -49,8 +49,8 @@
     pub bytes: u64,
 }
 
-pub fn address(i: usize) -> SocketAddr {
-    ([127, 0, 0, 1], 1000 + i as u16).into()
+pub fn address(index: usize) -> SocketAddr {
+    ([127, 0, 0, 1], 1000 + index as u16).into()
 }
 
 fn keys() -> Keys {
@@ -71,7 +71,7 @@
             tune,
             bytes: 0,
         };
-        for i in 0..count {
+        for index in 0..count {
             let member = SimulatedMember {
                 peers: None,
                 rate: 1.0,
@@ -82,33 +82,33 @@
                 messages: Vec::new(),
             };
             network.members.push(member);
-            network.start(i);
+            network.start(index);
         }
         network
     }
 
     /// Starts a member, or restarts it if it is running.
-    pub fn start(&mut self, i: usize) {
-        self.start_as(i, &format!("m{i}"));
+    pub fn start(&mut self, index: usize) {
+        self.start_as(index, &format!("m{index}"));
     }
 
-    pub fn start_as(&mut self, i: usize, name: &str) {
-        let mut settings = Settings::new(name, "z", address(i));
+    pub fn start_as(&mut self, index: usize, name: &str) {
+        let mut settings = Settings::new(name, "z", address(index));
         settings.seeds = vec![address(0), address(1)];
         (self.tune)(&mut settings);
         let mut seed = [0; 32];
         self.rng.fill_bytes(&mut seed);
-        let at = self.clock(i);
-        self.members[i].inbox.clear();
-        self.members[i].paused = false;
-        self.members[i].peers = Some(Peers::new(settings, Some(keys()), seed, at));
+        let at = self.clock(index);
+        self.members[index].inbox.clear();
+        self.members[index].paused = false;
+        self.members[index].peers = Some(Peers::new(settings, Some(keys()), seed, at));
     }
 
-    pub fn kill(&mut self, i: usize) {
-        self.members[i].peers = None;
+    pub fn kill(&mut self, index: usize) {
+        self.members[index].peers = None;
     }
 
-    pub fn link(&mut self, from: usize, to: usize, link: Link) {
+    pub fn set_link(&mut self, from: usize, to: usize, link: Link) {
         self.links.insert((from, to), link);
     }
 
@@ -122,54 +122,54 @@
         for a in 0..self.members.len() {
             for b in 0..self.members.len() {
                 if side.contains(&a) != side.contains(&b) {
-                    self.link(a, b, Link { cut: true, ..RELIABLE });
+                    self.set_link(a, b, Link { cut: true, ..RELIABLE });
                 }
             }
         }
     }
 
-    pub fn clock(&self, i: usize) -> Micros {
-        Micros(self.members[i].offset + (self.now as f64 * self.members[i].rate) as i64)
+    pub fn clock(&self, index: usize) -> Micros {
+        Micros(self.members[index].offset + (self.now as f64 * self.members[index].rate) as i64)
     }
 
     /// Changes the rate of a member's clock without a jump of its reading.
-    pub fn set_rate(&mut self, i: usize, rate: f64) {
-        let at = self.clock(i).0;
-        self.members[i].rate = rate;
-        self.members[i].offset = at - (self.now as f64 * rate) as i64;
+    pub fn set_rate(&mut self, index: usize, rate: f64) {
+        let at = self.clock(index).0;
+        self.members[index].rate = rate;
+        self.members[index].offset = at - (self.now as f64 * rate) as i64;
     }
 
-    pub fn resume(&mut self, i: usize) {
-        self.members[i].paused = false;
-        for data in std::mem::take(&mut self.members[i].inbox) {
-            self.deliver(i, &data);
+    pub fn resume(&mut self, index: usize) {
+        self.members[index].paused = false;
+        for data in std::mem::take(&mut self.members[index].inbox) {
+            self.deliver(index, &data);
         }
     }
 
-    fn deliver(&mut self, i: usize, data: &[u8]) {
-        let at = self.clock(i);
-        let Some(peers) = &mut self.members[i].peers else { return };
+    fn deliver(&mut self, index: usize, data: &[u8]) {
+        let at = self.clock(index);
+        let Some(peers) = &mut self.members[index].peers else { return };
         let _ = peers.handle(at, Input::Datagram(data));
-        self.process_outputs(i);
+        self.process_outputs(index);
     }
 
-    pub fn leave(&mut self, i: usize) {
-        let at = self.clock(i);
-        let _ = self.members[i].peers.as_mut().unwrap().handle(at, Input::Leave);
-        self.process_outputs(i);
-        self.kill(i);
+    pub fn leave(&mut self, index: usize) {
+        let at = self.clock(index);
+        let _ = self.members[index].peers.as_mut().unwrap().handle(at, Input::Leave);
+        self.process_outputs(index);
+        self.kill(index);
     }
 
-    fn process_outputs(&mut self, i: usize) {
+    fn process_outputs(&mut self, index: usize) {
         loop {
-            let Some(output) = self.members[i].peers.as_mut().and_then(Peers::poll) else { return };
+            let Some(output) = self.members[index].peers.as_mut().and_then(Peers::poll) else { return };
             match output {
-                Output::Event(event) => self.members[i].events.push(event),
-                Output::Message(from, message) => self.members[i].messages.push((from, message)),
+                Output::Event(event) => self.members[index].events.push(event),
+                Output::Message(from, message) => self.members[index].messages.push((from, message)),
                 Output::Send(to, data) => {
                     self.bytes += data.len() as u64;
                     let to = usize::from(to.port()) - 1000;
-                    let link = self.links.get(&(i, to)).copied().unwrap_or(self.default_link);
+                    let link = self.links.get(&(index, to)).copied().unwrap_or(self.default_link);
                     let copies = 1 + usize::from(self.rng.random_bool(link.duplication));
                     for _ in 0..copies {
                         let at = self.now + self.rng.random_range(link.delay.0..=link.delay.1);
@@ -199,14 +199,15 @@
                     self.deliver(to, &data);
                 }
             }
-            for i in 0..self.members.len() {
-                let at = self.clock(i);
-                let SimulatedMember { peers: Some(peers), paused: false, .. } = &mut self.members[i] else {
+            for index in 0..self.members.len() {
+                let at = self.clock(index);
+                let SimulatedMember { peers: Some(peers), paused: false, .. } = &mut self.members[index]
+                else {
                     continue;
                 };
                 if peers.next_timeout() <= at {
                     let _ = peers.handle(at, Input::Wake);
-                    self.process_outputs(i);
+                    self.process_outputs(index);
                 }
             }
         }
@@ -225,27 +226,29 @@
         condition(self).then_some(self.now - start)
     }
 
-    pub fn alive(&self, i: usize) -> u32 {
-        self.members[i].peers.as_ref().map_or(0, |p| p.alive_count())
+    pub fn alive(&self, index: usize) -> u32 {
+        self.members[index].peers.as_ref().map_or(0, |p| p.alive_count())
     }
 
     /// Whether each running member believes that `count` members are alive.
     pub fn all_see_alive(&self, count: u32) -> bool {
-        (0..self.members.len()).filter(|&i| self.members[i].peers.is_some()).all(|i| self.alive(i) == count)
+        (0..self.members.len())
+            .filter(|&index| self.members[index].peers.is_some())
+            .all(|index| self.alive(index) == count)
     }
 
     /// Publishes a fact whose value is the current virtual time.
-    pub fn publish_time(&mut self, i: usize, key: &[u8]) {
-        let (at, now) = (self.clock(i), self.now);
-        if let Some(peers) = &mut self.members[i].peers {
+    pub fn publish_time(&mut self, index: usize, key: &[u8]) {
+        let (at, now) = (self.clock(index), self.now);
+        if let Some(peers) = &mut self.members[index].peers {
             peers.publish(at, key, &now.to_be_bytes(), Micros(0));
         }
     }
 
     /// The true ages of all facts that this member would use now, in microseconds.
-    pub fn true_ages(&self, i: usize) -> Vec<i64> {
-        let at = self.clock(i);
-        let Some(peers) = &self.members[i].peers else { return Vec::new() };
+    pub fn true_ages(&self, index: usize) -> Vec<i64> {
+        let at = self.clock(index);
+        let Some(peers) = &self.members[index].peers else { return Vec::new() };
         peers.facts(at).map(|f| self.now - i64::from_be_bytes(f.value.try_into().unwrap())).collect()
     }
 }
--- a/crates/verdicts/src/exchange_tests.rs
+++ b/crates/verdicts/src/exchange_tests.rs
@@ -105,7 +105,7 @@
 #[test]
 fn an_own_fault_is_recognised_by_scores_and_lasts_until_nodes_answer() {
     const NODES: u32 = 9;
-    let of = |n: u32, score: f64, ejected: bool, ok_at: i64| Opinion {
+    let opinion_of = |n: u32, score: f64, ejected: bool, ok_at: i64| Opinion {
         server: ServerId(n),
         score,
         bad: if ejected { score } else { 0.0 },
@@ -118,11 +118,11 @@
         claims.len()
     };
     // Two nodes are ejected, and three more have failed all calls since their latest good answer.
-    let doubted: Vec<Opinion> = (0..5).map(|n| of(n, 0.6, n < 2, 100)).collect();
+    let doubted: Vec<Opinion> = (0..5).map(|n| opinion_of(n, 0.6, n < 2, 100)).collect();
     let mut exchange = VerdictExchange::new("p", &[]);
     assert_eq!(claim_count(&mut exchange, 1_000, &doubted), 0);
     // One of them answers: four impaired nodes of nine are not taken for this member's own fault.
     let mut answered = doubted.clone();
-    answered[4] = of(4, 0.3, false, 950);
+    answered[4] = opinion_of(4, 0.3, false, 950);
     assert_eq!(claim_count(&mut exchange, 2_000, &answered), 2);
 }
