--- a/crates/peers/src/seal_tests.rs
+++ b/crates/peers/src/seal_tests.rs
@@ -2,109 +2,121 @@
 
 use super::*;
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 fn sealer(boot: u64, keys: &str) -> Sealer {
-    Sealer::new(Keys::parse(keys).unwrap(), boot, at(boot as u16), [boot as u8; 32], 4)
+    Sealer::new(Keys::parse(keys).unwrap(), boot, address(boot as u16), [boot as u8; 32], 4)
 }
 
-const ONE: &str = "1 1111111111111111111111111111111111111111111111111111111111111111";
-const TWO: &str = "2 2222222222222222222222222222222222222222222222222222222222222222";
+const KEY_ONE: &str = "1 1111111111111111111111111111111111111111111111111111111111111111";
+const KEY_TWO: &str = "2 2222222222222222222222222222222222222222222222222222222222222222";
 
-/// Two that know each other's tokens.
+/// Two sealers that have each other's tokens.
 fn pair() -> (Sealer, Sealer) {
-    let (mut a, mut b) = (sealer(1, ONE), sealer(2, ONE));
-    let (to_a, to_b) = (a.token_for(2, at(2)), b.token_for(1, at(1)));
-    a.learn_token(at(2), to_b);
-    b.learn_token(at(1), to_a);
-    (a, b)
+    let (mut first, mut second) = (sealer(1, KEY_ONE), sealer(2, KEY_ONE));
+    let (to_first, to_second) = (first.token_for(2, address(2)), second.token_for(1, address(1)));
+    first.learn_token(address(2), to_second);
+    second.learn_token(address(1), to_first);
+    (first, second)
 }
 
 #[test]
-fn every_cut_and_every_flipped_bit_is_dropped() {
-    let (mut a, mut b) = pair();
-    let whole = a.seal(at(2), Kind::Swim, b"body");
+fn every_truncation_and_every_flipped_bit_is_rejected() {
+    let (mut first, mut second) = pair();
+    let whole = first.seal(address(2), Kind::Swim, b"body");
     for n in 0..whole.len() {
-        assert!(b.open(&whole[..n]).is_err(), "cut at {n}");
+        assert!(second.open(&whole[..n]).is_err(), "cut at {n}");
         for bit in 0..8 {
             let mut bad = whole.clone();
             bad[n] ^= 1 << bit;
-            assert!(b.open(&bad).is_err(), "bit {bit} of {n}");
+            assert!(second.open(&bad).is_err(), "bit {bit} of {n}");
         }
     }
-    assert_eq!(b.open(&vec![MAGIC; MAX_DATAGRAM_BYTES + 1]).unwrap_err(), RejectReason::Malformed);
-    let opened = b.open(&whole).unwrap();
-    assert!(opened.fresh && opened.kind == Kind::Swim && opened.body == b"body" && opened.address == at(1));
+    assert_eq!(second.open(&vec![MAGIC; MAX_DATAGRAM_BYTES + 1]).unwrap_err(), RejectReason::Malformed);
+    let opened = second.open(&whole).unwrap();
+    assert!(
+        opened.has_valid_token
+            && opened.kind == Kind::Swim
+            && opened.body == b"body"
+            && opened.address == address(1)
+    );
 }
 
-/// An older and a newer program side by side: neither understands the other, and both say so.
+/// When an older and a newer program run side by side, neither understands the other, and both count it as
+/// such.
 #[test]
-fn another_version_is_told_apart_from_junk() {
-    let (mut a, mut b) = pair();
-    let mut newer = a.seal(at(2), Kind::Swim, b"body");
+fn another_version_is_distinguished_from_malformed_input() {
+    let (mut first, mut second) = pair();
+    let mut newer = first.seal(address(2), Kind::Swim, b"body");
     newer[1] = FORMAT_VERSION + 1;
-    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Version);
+    assert_eq!(second.open(&newer).unwrap_err(), RejectReason::Version);
     newer[0] = 0;
-    assert_eq!(b.open(&newer).unwrap_err(), RejectReason::Malformed);
+    assert_eq!(second.open(&newer).unwrap_err(), RejectReason::Malformed);
 }
 
 #[test]
-fn what_comes_twice_is_dropped_and_what_overtakes_is_not() {
-    let (mut a, mut b) = pair();
-    let sent: Vec<_> = (0..70).map(|_| a.seal(at(2), Kind::Pull, b"x")).collect();
+fn repeated_datagrams_are_rejected_and_reordered_ones_are_accepted() {
+    let (mut first, mut second) = pair();
+    let sent: Vec<_> = (0..70).map(|_| first.seal(address(2), Kind::Pull, b"x")).collect();
     for i in [5, 3, 4, 69, 68, 10] {
-        assert!(b.open(&sent[i]).is_ok(), "{i}");
+        assert!(second.open(&sent[i]).is_ok(), "{i}");
     }
     for i in [5, 3, 4, 69, 68, 10, 0] {
-        assert_eq!(b.open(&sent[i]).unwrap_err(), RejectReason::Replayed, "{i}");
+        assert_eq!(second.open(&sent[i]).unwrap_err(), RejectReason::Replayed, "{i}");
     }
 }
 
-/// Guards against a recording played to a process that started anew, or to another one.
+/// Guards against a recorded datagram being replayed to a restarted process, or to another one.
 #[test]
-fn a_recording_means_nothing_to_another_life_or_member() {
-    let (mut a, mut b) = pair();
-    let recorded = a.seal(at(2), Kind::Swim, b"x");
-    assert!(b.open(&recorded).unwrap().fresh);
-    let mut again = Sealer::new(Keys::parse(ONE).unwrap(), 20, at(2), [99; 32], 4);
-    assert!(!again.open(&recorded).unwrap().fresh);
-    assert!(!sealer(3, ONE).open(&recorded).unwrap().fresh);
+fn a_recorded_datagram_has_no_valid_token_for_another_life_or_member() {
+    let (mut first, mut second) = pair();
+    let recorded = first.seal(address(2), Kind::Swim, b"x");
+    assert!(second.open(&recorded).unwrap().has_valid_token);
+    let mut again = Sealer::new(Keys::parse(KEY_ONE).unwrap(), 20, address(2), [99; 32], 4);
+    assert!(!again.open(&recorded).unwrap().has_valid_token);
+    assert!(!sealer(3, KEY_ONE).open(&recorded).unwrap().has_valid_token);
 }
 
-/// A key is changed in three steps, and at no step does a member not understand another.
+/// A key is rotated in three steps, and at each step every member understands every other.
 #[test]
-fn keys_rotate_while_both_are_held() {
-    let (mut a, mut b) = pair();
-    let (both, other) = (format!("{ONE}\n{TWO}"), format!("{TWO} # new\n{ONE}"));
-    for (ka, kb) in [(ONE, both.as_str()), (&both, &both), (&other, &both), (&other, &other), (TWO, &other)] {
-        a.replace_keys(Keys::parse(ka).unwrap());
-        b.replace_keys(Keys::parse(kb).unwrap());
-        let (there, back) = (a.seal(at(2), Kind::Swim, b"x"), b.seal(at(1), Kind::Swim, b"x"));
-        assert!(b.open(&there).unwrap().fresh && a.open(&back).unwrap().fresh, "{ka:?} {kb:?}");
+fn members_understand_each_other_at_each_step_of_a_key_rotation() {
+    let (mut first, mut second) = pair();
+    let (both, other) = (format!("{KEY_ONE}\n{KEY_TWO}"), format!("{KEY_TWO} # new\n{KEY_ONE}"));
+    for (first_keys, second_keys) in
+        [(KEY_ONE, both.as_str()), (&both, &both), (&other, &both), (&other, &other), (KEY_TWO, &other)]
+    {
+        first.replace_keys(Keys::parse(first_keys).unwrap());
+        second.replace_keys(Keys::parse(second_keys).unwrap());
+        let (there, back) =
+            (first.seal(address(2), Kind::Swim, b"x"), second.seal(address(1), Kind::Swim, b"x"));
+        assert!(
+            second.open(&there).unwrap().has_valid_token && first.open(&back).unwrap().has_valid_token,
+            "{first_keys:?} {second_keys:?}"
+        );
     }
-    b.replace_keys(Keys::parse(ONE).unwrap());
-    assert_eq!(b.open(&a.seal(at(2), Kind::Swim, b"x")).unwrap_err(), RejectReason::Key);
+    second.replace_keys(Keys::parse(KEY_ONE).unwrap());
+    assert_eq!(second.open(&first.seal(address(2), Kind::Swim, b"x")).unwrap_err(), RejectReason::Key);
 }
 
 #[test]
-fn a_wrong_key_file_is_told_by_line() {
+fn the_error_for_a_malformed_key_file_names_the_line() {
     assert_eq!(Keys::parse("").err(), Some(KeyFileError::NoKeys));
     assert_eq!(Keys::parse("# none\n1 zz").err(), Some(KeyFileError::InvalidLine(2)));
     assert_eq!(Keys::parse("256 11").err(), Some(KeyFileError::InvalidLine(1)));
-    assert_eq!(Keys::parse(&format!("{ONE}\n{ONE}")).err(), Some(KeyFileError::DuplicateNumber(1)));
+    assert_eq!(Keys::parse(&format!("{KEY_ONE}\n{KEY_ONE}")).err(), Some(KeyFileError::DuplicateNumber(1)));
 }
 
-/// What is kept for senders does not grow with their number.
+/// The state stored for senders does not grow beyond its bound as their number grows.
 #[test]
 fn memory_for_senders_is_bounded() {
-    let mut b = sealer(2, ONE);
+    let mut receiver = sealer(2, KEY_ONE);
     for boot in 10..100 {
-        let mut a = sealer(boot, ONE);
-        a.learn_token(at(2), b.token_for(boot, at(boot as u16)));
-        assert!(b.open(&a.seal(at(2), Kind::Swim, b"x")).unwrap().fresh);
-        b.learn_token(at(boot as u16), 1);
+        let mut sender = sealer(boot, KEY_ONE);
+        sender.learn_token(address(2), receiver.token_for(boot, address(boot as u16)));
+        assert!(receiver.open(&sender.seal(address(2), Kind::Swim, b"x")).unwrap().has_valid_token);
+        receiver.learn_token(address(boot as u16), 1);
     }
-    assert!(b.seen.len() <= 4 && b.tokens.len() <= 4);
+    assert!(receiver.seen.len() <= 4 && receiver.tokens.len() <= 4);
 }
