--- a/crates/decisions/src/balancer/board.rs
+++ b/crates/decisions/src/balancer/board.rs
@@ -7,14 +7,14 @@
 
 impl Board {
     /// Clears what lies before `now`, books the queue, and drops what it put into the past.
-    pub(super) fn update(&mut self, now: Micros) {
+    pub(super) fn book_queue(&mut self, now: Micros) {
         let here = now.0 / SLOT.0;
         if self.queue.is_empty() && self.total <= 1.0 {
-            self.cleared = self.cleared.max(here);
+            self.first_slot = self.first_slot.max(here);
             return;
         }
         self.slots.resize(SLOTS as usize, 0.0); // a server never sent to needs no board
-        self.clear(self.cleared, here);
+        self.clear_slots(self.first_slot, here);
         // The ring holds max_slots from the first send on; what it books before `here` ends up past.
         let queue = std::mem::take(&mut self.queue);
         let first = queue.first().map_or(here, |q| q.0 .0 / SLOT.0);
@@ -32,33 +32,33 @@
                 at += 1;
             }
         }
-        self.clear(first, here);
+        self.clear_slots(first, here);
     }
 
-    fn clear(&mut self, from: i64, here: i64) {
+    fn clear_slots(&mut self, from: i64, here: i64) {
         for at in from.max(here - SLOTS)..here {
             let slot = &mut self.slots[(at % SLOTS) as usize];
             self.total -= *slot;
             *slot = 0.0;
         }
-        self.cleared = self.cleared.max(here);
+        self.first_slot = self.first_slot.max(here);
     }
 
     /// Cost booked for the next `periods`, or for all.
-    pub(super) fn ahead(&self, periods: Option<i64>) -> f64 {
+    pub(super) fn booked_ahead(&self, periods: Option<i64>) -> f64 {
         match periods {
             None => self.total.max(0.0),
             _ if self.slots.is_empty() => 0.0,
             Some(n) => {
-                let last = self.cleared + n * (PERIOD.0 / SLOT.0);
-                (self.cleared..last).map(|at| self.slots[(at % SLOTS) as usize]).sum()
+                let last = self.first_slot + n * (PERIOD.0 / SLOT.0);
+                (self.first_slot..last).map(|at| self.slots[(at % SLOTS) as usize]).sum()
             }
         }
     }
 }
 
 /// W_k of each L_k: the largest weight is 0, and tdiff bounds how far apart two weights lie.
-pub(super) fn weights(loads: &mut [f64], tdiff: f64) -> f64 {
+pub(super) fn loads_to_weights(loads: &mut [f64], tdiff: f64) -> f64 {
     let min = loads.iter().copied().fold(f64::INFINITY, f64::min);
     let max = loads.iter().copied().fold(0.0, f64::max);
     let dec = if max - min <= tdiff { 1.0 } else { tdiff / (max - min) };
--- a/crates/decisions/src/balancer/list_freshness.rs
+++ b/crates/decisions/src/balancer/list_freshness.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-const PROOF_LASTS: Micros = Micros(5_000_000); // changes go untold for 6 s, less the wait for a connection
+const CONFIRMATION_LASTS: Micros = Micros(5_000_000); // changes go untold for 6 s, less the wait for a connection
 pub(super) const NEVER: Micros = Micros(i64::MIN / 2);
 
 impl Balancer {
     /// The watch is lost, or could not be had; up to `since` it would have told of every change.
-    pub(super) fn unwatched(&mut self, since: Micros, failure: CallFailure) {
+    pub(super) fn watch_failed(&mut self, since: Micros, failure: CallFailure) {
         if self.subscription.as_mut().is_some_and(|s| s.failed(self.now, since, failure)) {
-            self.servers.iter_mut().for_each(|s| s.proven = s.proven.max(since));
+            self.servers.iter_mut().for_each(|s| s.confirmed_at = s.confirmed_at.max(since));
         }
     }
 
     /// Whether it is likely to stay. While nothing tells of changes, what took a call of late is, and what
     /// turned one away is not. Harm: fewer servers for as long as discovery is out of reach.
-    pub(super) fn trusted(&self, s: &Server) -> bool {
-        self.is_watched() || self.now - s.proven < PROOF_LASTS
+    pub(super) fn is_likely_to_stay(&self, s: &Server) -> bool {
+        self.is_watched() || self.now - s.confirmed_at < CONFIRMATION_LASTS
     }
 
     /// Whether discovery tells of changes as they come.
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const COLD_PART: f64 = 0.7; // of a peer: peers 1.4 times full, a server half as fast: twice what it can
+const COLD_RATE_SHARE: f64 = 0.7; // of a peer: peers 1.4 times full, a server half as fast: twice what it can
 
 /// When a server started, by a clock that never steps. Its start may be dated by the time before the wall
 /// clock was
@@ -16,22 +16,22 @@
     /// Slow start. A cold server gets the ramp's fraction of most of what a warm peer gets here, by a bucket
     /// that starts in debt by chance: all together keep the budget. How much of a core a price is worth is
     /// not known, so no core bounds it: where that did, new servers idled while the old ones drowned.
-    pub(super) fn slow_start(&mut self, ended: f64) {
-        let rate = COLD_PART * self.st.raw / self.members.len().max(1) as f64;
-        let unit = self.st.cr / self.st.gain;
-        let window = self.set.cold_overload_window.0 as f64 / PERIOD.0 as f64;
-        for at in 0..self.members.len() {
-            let i = self.members[at] as usize;
+    pub(super) fn fill_cold_buckets(&mut self, ended: f64) {
+        let rate = COLD_RATE_SHARE * self.stats.raw / self.subset.len().max(1) as f64;
+        let unit = self.stats.cr / self.stats.gain;
+        let window = self.settings.cold_overload_window.0 as f64 / PERIOD.0 as f64;
+        for at in 0..self.subset.len() {
+            let i = self.subset[at] as usize;
             let Some(since) = self.servers[i].started_at else { continue };
-            let fill = self.warmth(since) * rate;
+            let fill = self.warm_share(since) * rate;
             let s = &mut self.servers[i];
-            s.bucket = (s.bucket + fill * ended).min((fill * window).max(unit));
+            s.cold_bucket = (s.cold_bucket + fill * ended).min((fill * window).max(unit));
         }
     }
 
     /// The part of its capacity that a server is sure to have that started at this time.
-    pub(super) fn warmth(&self, since: Micros) -> f64 {
-        let age = (self.now - since).0 as f64 / self.set.ramp_time.0.max(1) as f64;
-        self.set.cold_share + (1.0 - self.set.cold_share) * age.clamp(0.0, 1.0)
+    pub(super) fn warm_share(&self, since: Micros) -> f64 {
+        let age = (self.now - since).0 as f64 / self.settings.ramp_time.0.max(1) as f64;
+        self.settings.cold_share + (1.0 - self.settings.cold_share) * age.clamp(0.0, 1.0)
     }
 }
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -2,7 +2,7 @@
 //! came of it, and [`tick`](Decisions::tick) when it is due. Network code sees these types alone.
 
 use crate::balancer::{Balancer, EJECT_SCORE};
-use crate::state::{Flight, HealthRecord};
+use crate::state::{HealthRecord, InFlightCall};
 use garnettally_model::{
     Action, Event, HostList, ListForm, LoadReport, LocalObservations, Names, NewRequest, Outcome,
     PeerVerdict, ServerObservation, Site,
@@ -232,7 +232,7 @@
 
     /// What this instance has found out by its own calls.
     pub fn local_observations(&self, now: Micros) -> LocalObservations {
-        LocalObservations { servers_in_use: self.balancer.sends_to(), servers: self.opinions(now) }
+        LocalObservations { servers_in_use: self.balancer.servers_in_use(), servers: self.opinions(now) }
     }
 
     /// What it has found out of those upstreams that it has had doubts about.
@@ -240,25 +240,26 @@
         let mut all = Vec::new();
         let no_mark = [HealthRecord::default()];
         for s in self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready) {
-            let unanswered = s.flights.iter().filter(|f| s.last_ok <= f.sent);
-            let part = |f: &Flight| (now - f.sent).0 as f64 / (f.overdue_at - f.sent).0.max(1) as f64;
+            let unanswered = s.calls.iter().filter(|f| s.last_ok_at <= f.sent_at);
+            let part =
+                |f: &InFlightCall| (now - f.sent_at).0 as f64 / (f.overdue_at - f.sent_at).0.max(1) as f64;
             let silent = unanswered.map(part).fold(0.0, f64::max);
             let marks = if s.health.is_empty() && silent > 0.0 { &no_mark[..] } else { &s.health };
             for (key, m) in marks.iter().enumerate() {
                 // Its score is made of its own calls alone, also where hearsay came first.
-                let own = m.ejected_until.is_some() && (m.by_own_score || m.bad >= EJECT_SCORE);
+                let own = m.ejected_until.is_some() && (m.by_own_score || m.outlier_score >= EJECT_SCORE);
                 all.push(ServerObservation {
                     server: s.entry.server,
                     started_at: s.entry.started_at,
                     class: key.checked_sub(1).map(|c| ClassId(c as u32)),
                     // While it is ejected it is as bad as what it was ejected for, at the least.
-                    severity: if own { m.bad.max(0.5) } else { 0.0 },
-                    outlier_score: m.bad,
-                    has_answered: s.answered,
-                    is_unreachable: s.shut,
+                    severity: if own { m.outlier_score.max(0.5) } else { 0.0 },
+                    outlier_score: m.outlier_score,
+                    has_answered: s.has_answered,
+                    is_unreachable: s.is_unreachable,
                     overdue_share: if key == 0 { silent } else { 0.0 },
-                    last_ended_at: s.last_end,
-                    last_ok_at: s.last_ok,
+                    last_ended_at: s.last_ended_at,
+                    last_ok_at: s.last_ok_at,
                 });
             }
         }
