--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -1,36 +1,43 @@
-//! Admission: whether a request is sent, waits, or is refused, and its one final answer.
+//! Admission: whether a request is sent, waits or is refused, and its single final answer.
 
 use super::*;
 
-pub(super) const MIN_QUOTA_REQUESTS: f64 = 2.0; // in requests
-/// In time with this multiple of the expected time left: 4 in 5 exponential ones.
+/// The number of requests that a tenant can always save up, however small its quota is.
+pub(super) const MIN_QUOTA_REQUESTS: f64 = 2.0;
+/// A request is expected to be in time if at least this multiple of its expected time is left: of
+/// exponentially distributed times, 4 in 5 are shorter.
 pub(super) const IN_TIME_FACTOR: f64 = 1.5;
-const MAX_WAIT_AIM_SHARE: f64 = 0.5; // part of its aim that a request may wait here: the rest is for being served
+/// The share of its aim that a request may wait here; the rest is left for serving it.
+const MAX_WAIT_AIM_SHARE: f64 = 0.5;
 
 impl Balancer {
+    /// Takes in a new request and decides on it.
     pub(super) fn admit(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let class = new.class.0 as usize;
         if class >= self.mean_times.len() {
             return actions.push(Action::Fail { id: new.id });
         }
-        let over_share = match new.tenant.and_then(|t| self.quota_tokens.get_mut(t.0 as usize)) {
+        let over_quota = match new.tenant.and_then(|t| self.quota_tokens.get_mut(t.0 as usize)) {
             Some(tokens) => std::mem::replace(tokens, (*tokens - 1.0).max(-1.0)) < 1.0,
             None => false,
         };
-        let most = MIN_RETRY_TOKENS.max(RETRY_RATIO * RETRY_SAVED_PERIODS * self.stats.nr);
-        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(most);
-        // A repeat given less time than tries are given has met the end of its client's total: that dates
-        // the first try, and with it the aim that counts.
-        let (left, patience) = (new.expires - self.now, self.longest_tries[class]);
-        self.longest_tries[class] = patience.max(left);
-        let dated = new.repeat && left + PERIOD < patience;
-        let age = if dated { self.settings.classes[class].deadline - left } else { Micros(0) };
-        let nobody = self.failure_shares.len() - 1;
+        let max_tokens = MIN_RETRY_TOKENS.max(RETRY_RATIO * RETRY_SAVED_PERIODS * self.stats.nr);
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(max_tokens);
+        // If a repeat is given less time than a try is usually given, its time-out is cut short by the end of
+        // the client's total time. This tells when the first try was sent, from which the aim counts.
+        let (left, longest_try) = (new.expires - self.now, self.longest_tries[class]);
+        self.longest_tries[class] = longest_try.max(left);
+        let is_cut_short = new.repeat && left + PERIOD < longest_try;
+        let age = if is_cut_short { self.settings.classes[class].deadline - left } else { Micros(0) };
+        let no_tenant = self.failure_shares.len() - 1;
         let hint = new.hint.filter(|h| h.0 > 0).map(|h| h.0 as f64);
         let request = Request {
             class,
-            tenant_index: new.tenant.map_or(nobody, |t| self.mean_times.len() + t.0 as usize).min(nobody),
-            over_quota: over_share,
+            tenant_index: new
+                .tenant
+                .map_or(no_tenant, |t| self.mean_times.len() + t.0 as usize)
+                .min(no_tenant),
+            over_quota,
             is_repeat: new.repeat,
             arrived_at: self.now - age.max(Micros(0)),
             expires: new.expires,
@@ -47,7 +54,8 @@
         self.dispatch(new.id, actions);
     }
 
-    /// Sends the request, holds it, or ends it. One that has been nowhere waits for a list.
+    /// Sends the request, makes it wait, or answers it finally. A request that has not been sent yet waits,
+    /// even while no server may take it: a list may bring one.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let retry = self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty());
         match self.pick(id, retry) {
@@ -63,8 +71,9 @@
         }
     }
 
-    /// An answer worth nothing past the aim is not waited for past it: the request is refused just inside:
-    /// its client knows, servers below drop it. Harm: a client may repeat it. Lower tiers go by the caller.
+    /// Returns the time at which a request is given up. Where an answer after the aim is worth nothing, the
+    /// request is refused just before its aim, so that the client knows and the servers below drop it.
+    /// Drawback: the client may repeat it. Instances of lower tiers wait for as long as their caller does.
     pub(super) fn give_up_at(&self, r: &Request) -> Micros {
         match self.settings.tier > 0 || self.settings.classes[r.class].late_worth > 0.0 {
             true => r.expires,
@@ -72,31 +81,37 @@
         }
     }
 
-    /// What a request is worth if sent now: late answers earn less, past the deadline nothing does.
-    pub(super) fn value(&self, id: RequestId, r: &Request, in_time: f64) -> f64 {
+    /// Returns what a request is worth if it is sent now and takes this multiple of its expected time. Late
+    /// answers earn less, and answers after the deadline nothing.
+    pub(super) fn value(&self, id: RequestId, r: &Request, time_factor: f64) -> f64 {
         let class = &self.settings.classes[r.class];
-        // Those that share its key run before it, one at a time; the one that has the turn is on its way.
-        let turn = r.key.and_then(|k| self.key_queues.get(&k)?.requests.iter().position(|&q| q == id));
-        let expected = in_time * self.time_estimate.served_time(r.price) * turn.unwrap_or(0).max(1) as f64;
+        // The requests before it in its key's queue run first, one at a time; the first of them is already on
+        // its way.
+        let position = r.key.and_then(|k| self.key_queues.get(&k)?.requests.iter().position(|&q| q == id));
+        let expected =
+            time_factor * self.time_estimate.served_time(r.price) * position.unwrap_or(0).max(1) as f64;
         let expected = Micros(expected as i64);
         let share = if r.over_quota { self.settings.over_share_worth } else { 1.0 };
         let per_work = if self.settings.worth_by_work { 1.0 } else { self.stats.cr / r.price.max(1.0) };
-        let in_time = match self.now + expected {
-            // Below the first tier the caller has work sunk in this: it is given up at its deadline only.
+        let time_share = match self.now + expected {
+            // Below the first tier, the caller has already spent work on the request, so it is given up only
+            // at its deadline.
             t if t <= self.aim_time(r) || self.settings.tier > 0 => 1.0,
             t if t <= r.expires => class.late_worth,
             _ => 0.0,
         };
-        class.worth * share * per_work * in_time
+        class.worth * share * per_work * time_share
     }
 
+    /// Returns the time until which an answer earns the full worth.
     pub(super) fn aim_time(&self, r: &Request) -> Micros {
         let class = &self.settings.classes[r.class];
         (r.arrived_at + class.aim + Micros((class.aim_stretch * r.price) as i64)).min(r.expires)
     }
 
-    /// Overload. Sends held requests while there is room, the most worth per work first, then by aim. Refuses
-    /// at once what can't be answered in time: its client is free to go. Harm: a wrong estimate.
+    /// Sends waiting requests while the concurrency limit has room: those with the most worth per work first,
+    /// then those whose aim ends first. Under overload this refuses at once the requests that can't be
+    /// answered in time, so that their clients need not wait. Drawback: the estimate may be wrong.
     pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         let mut waiting: Vec<(f64, Micros, RequestId)> = Vec::new();
         for id in std::mem::take(&mut self.waiting) {
@@ -117,7 +132,7 @@
         for (_, _, id) in waiting {
             match self.pick(id, false) {
                 PickResult::Server(server) => self.send(id, server, actions),
-                // Nothing may be sent for it any more.
+                // The request has been sent before, and no further attempt of it is allowed.
                 PickResult::NoServer if self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty()) => {
                     self.refuse_or_fail(id, actions);
                 }
@@ -126,21 +141,23 @@
         }
     }
 
-    /// Whether a request has waited here for so long that it is told to go: its client's connections are few,
-    /// and what has used up its aim in a queue is served late. Lower tiers go by the caller.
+    /// Returns whether a request has waited here for so long that it is refused: its client has few
+    /// connections, and a request that has used up its aim in a queue is served late. Instances of lower
+    /// tiers wait for as long as their caller does.
     pub(super) fn has_waited_too_long(&self, r: &Request) -> bool {
         let aim = (self.aim_time(r) - r.arrived_at).0 as f64;
         self.settings.tier == 0 && (self.now - r.arrived_at).0 as f64 >= MAX_WAIT_AIM_SHARE * aim
     }
 
-    /// Rule 1 and 2: the one final answer. A refusal says that a repeat does no harm.
+    /// Rules 1 and 2: gives the request its single final answer. A refusal states that a repeat is harmless;
+    /// where that is not certain, the request fails instead.
     pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.is_finished) else { return };
         let harmless = match self.settings.classes[r.class].effect {
             Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
             _ => r.attempts.iter().all(|a| !a.may_have_run),
         };
-        // A client told only now that its aim has passed has nothing to gain by a quick repeat.
+        // A request that is answered only after its aim gains nothing by a quick repeat.
         let wait = if self.now >= r.expires { self.settings.max_retry_after } else { PERIOD };
         let wait =
             if self.settings.retry_after { wait.min(self.settings.max_retry_after) } else { Micros(0) };
@@ -148,7 +165,8 @@
         self.close_request(id, actions);
     }
 
-    /// The request has had its answer, or its client is gone: nothing goes out for it any more.
+    /// Ends a request that has its final answer, or whose client has disconnected: no further attempt is
+    /// sent, and those in flight are cancelled where that is allowed.
     pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.is_finished = true;
@@ -160,11 +178,12 @@
         }
     }
 
-    /// Nothing is out for it any more: the turn passes on.
+    /// Removes a finished request that has no attempt in flight, so that the next request with its key may be
+    /// sent.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         let key = self.requests.remove(&id).and_then(|r| r.key);
-        if let Some(turn) = key.and_then(|k| self.key_queues.get_mut(&k)) {
-            turn.requests.retain(|q| *q != id);
+        if let Some(queue) = key.and_then(|k| self.key_queues.get_mut(&k)) {
+            queue.requests.retain(|q| *q != id);
         }
     }
 }
--- a/crates/decisions/src/balancer/concurrency_limit.rs
+++ b/crates/decisions/src/balancer/concurrency_limit.rs
@@ -1,43 +1,65 @@
-//! The concurrency limit: how many calls may be in flight, by kind of server.
+//! The concurrency limit: how many calls may be in flight to the servers of one kind.
 
 use super::*;
 
-/// Mean square of time over aim: exponential times, a third of the aim on average.
+/// The mean square of served time over aim from which a pool counts as congested. Exponentially distributed
+/// times with a mean of a third of the aim come close to it.
 pub(super) const CONGESTED: f64 = 0.25;
-const MAX_UNANSWERED_CONGESTION: f64 = 0.375; // most that an unanswered call adds to it: a few hung servers are no crowd
-const MAX_CONGESTION_WEIGHT: f64 = 0.15; // most weight of one call in it: a single late one must not close the limit
-const MAX_STRETCH: f64 = 2.2; // served over uncrowded time past which it closes: more wait than run
-/// Weight of a call in the present time: its mean is sure to a fifth.
+/// The largest square that an unanswered call adds to the mean, so that a few hung servers do not count as
+/// congestion.
+const MAX_UNANSWERED_CONGESTION: f64 = 0.375;
+/// The largest weight of one call in the mean, so that a single late call does not reduce the limit.
+const MAX_CONGESTION_WEIGHT: f64 = 0.15;
+/// The ratio of served time to the time without congestion above which the limit shrinks: calls then wait for
+/// longer than they run.
+const MAX_STRETCH: f64 = 2.2;
+/// The weight of a call in the mean of the present served time, which is then accurate to a fifth.
 pub(super) const STRETCH_WEIGHT: f64 = 1.0 / 64.0;
-const STRETCH_DRIFT_PER_PERIOD: f64 = 1e-3; // of the uncrowded time towards it each period: forgotten in minutes
-pub(super) const FIRST_LIMIT_PER_SERVER: f64 = 6.0; // the concurrency limit at first, per server
-pub(super) const LIMIT_CHANCE_ROOTS: f64 = 2.0; // and roots of an instance's share of it, as room for chance
-const MIN_LIMIT_PER_SERVER: f64 = 4.0; // its floor per server: at fewer, those that wait on others would idle
-const LIMIT_STEP_DOWN: f64 = 0.07; // its step down each period, times the crowding over its bound
+/// The share of the distance to the present served time by which the time without congestion moves towards it
+/// each period. An old minimum is forgotten within minutes.
+const STRETCH_DRIFT_PER_PERIOD: f64 = 1e-3;
+/// The first concurrency limit, in calls per server of the pool over all instances.
+pub(super) const FIRST_LIMIT_PER_SERVER: f64 = 6.0;
+/// The room for random variation in the first limit, in square roots of the instance's share of it.
+pub(super) const LIMIT_CHANCE_ROOTS: f64 = 2.0;
+/// The least concurrency limit, in calls per server over all instances. With fewer, servers that wait for
+/// others would be idle.
+const MIN_LIMIT_PER_SERVER: f64 = 4.0;
+/// The share of the limit by which it shrinks each period, for each multiple of [`CONGESTED`].
+const LIMIT_STEP_DOWN: f64 = 0.07;
+/// The largest share of the limit by which it shrinks in one period.
 const MAX_LIMIT_STEP_DOWN: f64 = 0.25;
-const LIMIT_STEP_UP: f64 = 0.05; // its step up, by what is spare, once this part of it is out
+/// The share of the limit by which it grows each period, if there is no congestion at all; less, the closer
+/// that is.
+const LIMIT_STEP_UP: f64 = 0.05;
+/// The share of the limit that has to be in flight for the limit to grow.
 const LIMIT_BINDS_FROM: f64 = 0.8;
 
 impl Balancer {
-    /// Crowding: time over aim, squared. What ended unanswered or was turned away is no silence.
+    /// Adds the square of an attempt's latency over its aim to the congestion of the pool. Attempts that
+    /// ended without an answer, or were declined, are signs of congestion as well.
     pub(super) fn record_congestion(&mut self, server: ServerId, class: usize, o: &Outcome) {
         let pool = &mut self.pools[self.servers[server.0 as usize].pool];
         // Lateness counts by what it costs: less where a late answer still earns something.
-        let of = &self.settings.classes[class];
-        let part = (o.latency.0 as f64 / of.aim.0.max(1) as f64).powi(2) * (1.0 - of.late_worth).max(0.0);
-        let part = match o.code {
-            Code::Ok => part,
-            Code::Timeout | Code::Cancelled if part > pool.congestion => part.min(MAX_UNANSWERED_CONGESTION),
+        let class = &self.settings.classes[class];
+        let square =
+            (o.latency.0 as f64 / class.aim.0.max(1) as f64).powi(2) * (1.0 - class.late_worth).max(0.0);
+        let square = match o.code {
+            Code::Ok => square,
+            Code::Timeout | Code::Cancelled if square > pool.congestion => {
+                square.min(MAX_UNANSWERED_CONGESTION)
+            }
             Code::Full => 1.0,
             _ => return,
         };
-        let k = Self::signal_weight(self.now - pool.congestion_at).min(MAX_CONGESTION_WEIGHT);
+        let weight = Self::signal_weight(self.now - pool.congestion_at).min(MAX_CONGESTION_WEIGHT);
         pool.congestion_at = self.now;
-        pool.congestion += k * (part.min(2.0) - pool.congestion);
+        pool.congestion += weight * (square.min(2.0) - pool.congestion);
     }
 
-    /// The limit is that of the servers at hand and follows what they carry, cold and ejected ones less or
-    /// nothing. Where it stayed, callers of half the servers sent each twice what it was found to bear.
+    /// Scales the limits to the capacity of the servers that may be called. Cold servers count for less and
+    /// ejected ones not at all. Without this, callers that lost half of the servers would send each of the
+    /// others twice what it was found to bear.
     pub(super) fn scale_limit(&mut self) {
         let before: Vec<f64> = self.pools.iter_mut().map(|p| std::mem::take(&mut p.capacity)).collect();
         for s in self.ring.iter().map(|&(_, i)| &self.servers[i as usize]) {
@@ -47,34 +69,37 @@
         }
         for (p, before) in self.pools.iter_mut().zip(before) {
             if p.capacity == 0.0 {
-                p.capacity = before; // none is left to send to, and what comes back is no growth
+                // No server is left to send to. The old value stays, so that servers that come back do not
+                // count as growth.
+                p.capacity = before;
             } else if before > 0.0 {
                 p.limit *= p.capacity / before;
             }
         }
     }
 
-    /// Overload: the concurrency limit shrinks while served times take too much of the aim, and grows when it
-    /// binds though they don't. Guards against crowding, which shows in time over the aim, or, where that is
-    /// far off, over the uncrowded time: servers may tire of a queue that calls have time for. A delay that
-    /// costs nobody anything is no crowding, however fast the servers: a full machine delays by milliseconds.
+    /// Adapts the concurrency limits to overload. A limit shrinks while served times use up too much of the
+    /// aim, and grows when it is nearly reached though they do not. Congestion shows in served time over aim
+    /// or, where the aim is far longer, over the served time without congestion: a queue may slow servers
+    /// down even if calls have the time to wait in it. A delay that costs the callers nothing is not
+    /// congestion, however fast the servers are: any fully loaded machine delays calls by milliseconds.
     pub(super) fn adapt_limit(&mut self) {
         for p in &mut self.pools {
-            let costs = p.mean_delay >= FREE_DELAY_AIM_SHARE;
+            let delay_costs = p.mean_delay >= FREE_DELAY_AIM_SHARE;
             let stretch = p
                 .least_log_time
-                .filter(|_| costs)
-                .map_or(0.0, |base| (p.mean_log_time - base) / MAX_STRETCH.ln());
+                .filter(|_| delay_costs)
+                .map_or(0.0, |least| (p.mean_log_time - least) / MAX_STRETCH.ln());
             p.least_log_time =
-                p.least_log_time.map(|base| base + STRETCH_DRIFT_PER_PERIOD * (p.mean_log_time - base));
-            let crowd = p.congestion.max(CONGESTED * stretch);
-            if crowd > CONGESTED {
+                p.least_log_time.map(|least| least + STRETCH_DRIFT_PER_PERIOD * (p.mean_log_time - least));
+            let congestion = p.congestion.max(CONGESTED * stretch);
+            if congestion > CONGESTED {
                 let least =
                     MIN_LIMIT_PER_SERVER * p.ready_servers / f64::from(self.settings.instances.max(1));
-                let down = (LIMIT_STEP_DOWN * crowd / CONGESTED).min(MAX_LIMIT_STEP_DOWN);
+                let down = (LIMIT_STEP_DOWN * congestion / CONGESTED).min(MAX_LIMIT_STEP_DOWN);
                 p.limit = (p.limit * (1.0 - down)).max(least);
             } else if p.calls_in_flight as f64 + self.limit_dither >= LIMIT_BINDS_FROM * p.limit {
-                let spare = 1.0 - crowd / CONGESTED;
+                let spare = 1.0 - congestion / CONGESTED;
                 p.limit = (p.limit * (1.0 + LIMIT_STEP_UP * spare)).min(1e6);
             }
         }
--- a/crates/decisions/src/balancer/list_freshness.rs
+++ b/crates/decisions/src/balancer/list_freshness.rs
@@ -1,36 +1,42 @@
-//! How far the list can be trusted while there is no watch on discovery.
+//! How far the list of servers can be relied on while there is no watch on discovery.
 
 use super::*;
 
-const CONFIRMATION_LASTS: Micros = Micros(5_000_000); // changes go untold for 6 s, less the wait for a connection
+/// How long a server that accepted a call counts as likely to stay. An instance may lack changes for 6 s; the
+/// wait for a connection is subtracted from that.
+const CONFIRMATION_LASTS: Micros = Micros(5_000_000);
+/// A time before any event, far enough from the least value that durations can be subtracted.
 pub(super) const NEVER: Micros = Micros(i64::MIN / 2);
 
 impl Balancer {
-    /// The watch is lost, or could not be had; up to `since` it would have told of every change.
-    pub(super) fn watch_failed(&mut self, since: Micros, failure: CallFailure) {
-        if self.subscription.as_mut().is_some_and(|s| s.failed(self.now, since, failure)) {
-            self.servers.iter_mut().for_each(|s| s.confirmed_at = s.confirmed_at.max(since));
+    /// Records that the watch was lost, or that the request for one failed. All changes up to
+    /// `complete_until` have arrived, so a watch that was open confirms the servers up to then.
+    pub(super) fn watch_failed(&mut self, complete_until: Micros, failure: CallFailure) {
+        if self.subscription.as_mut().is_some_and(|s| s.failed(self.now, complete_until, failure)) {
+            self.servers.iter_mut().for_each(|s| s.confirmed_at = s.confirmed_at.max(complete_until));
         }
     }
 
-    /// Whether it is likely to stay. While nothing tells of changes, what took a call of late is, and what
-    /// turned one away is not. Harm: fewer servers for as long as discovery is out of reach.
+    /// Returns whether a server is unlikely to leave soon. While no watch delivers changes, a server that
+    /// accepted a call lately is, and one that declined a call is not. Drawback: fewer servers are used for
+    /// as long as discovery is out of reach.
     pub(super) fn is_likely_to_stay(&self, s: &Server) -> bool {
         self.is_watched() || self.now - s.confirmed_at < CONFIRMATION_LASTS
     }
 
-    /// Whether discovery tells of changes as they come.
+    /// Returns whether discovery delivers changes as they are made: it pushes lists, or a watch is open.
     pub(super) fn is_watched(&self) -> bool {
         self.subscription.as_ref().is_none_or(|s| s.is_open())
     }
 
-    /// What is known of the list; `None`: discovery need not be asked for it.
+    /// Returns how far the list may be relied on; `None`: no watch has to be requested for it.
     pub fn list_standing(&self, now: Micros) -> Option<ListReport> {
         self.subscription.as_ref().map(|s| s.list_report(self.now.max(now)))
     }
 
-    /// Whether the list may lack changes that bind already: then nothing goes out. A server that leaves may
-    /// well go on answering. Harm: requests wait, and are refused, until the watch is back.
+    /// Returns whether the list may lack changes that already have to be obeyed. Then no request is sent at
+    /// all, since a server that has left may still answer. Drawback: requests wait, and are refused, until
+    /// there is a watch again.
     pub(super) fn list_is_stale(&self) -> bool {
         self.subscription.as_ref().is_some_and(|s| s.is_stale(self.now))
     }
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -1,13 +1,19 @@
-//! Membership: the servers that lists name, and the subset of them that this instance sends to.
+//! Membership: the servers on the lists, and the subset of them that this instance sends to.
 
 use super::*;
 
-const MIN_SUBSET_SERVERS: usize = 12; // servers sent to; else those called within this or half an idle connection's
-const SUBSET_TIME_US: f64 = 3e6; // life: connections stay open, and each server is heard of again soon
-const MAX_DOUBTED_ONE_IN: usize = 6; // a list that calls more than one in so many gone is doubted, where it may be
+/// The least number of servers in the subset.
+const MIN_SUBSET_SERVERS: usize = 12;
+/// The subset has as many servers as the instance makes calls within this time, in microseconds, or within
+/// half the time after which an idle connection is closed, if that is shorter. So connections stay open, and
+/// each server is called again soon.
+const SUBSET_TIME_US: f64 = 3e6;
+/// Where removals are advisory, they are not believed while more than one in this many ready servers is
+/// doubted.
+const MAX_DOUBTED_ONE_IN: usize = 6;
 
 impl Balancer {
-    /// How many servers this instance sends to.
+    /// Returns how many servers the subset should have for each class.
     pub(super) fn subset_size(&self) -> usize {
         let time = SUBSET_TIME_US.min(self.settings.idle_close.0 as f64 / 2.0);
         let calls = self.stats.nr * time / PERIOD.0 as f64;
@@ -19,8 +25,9 @@
         least.max(calls as usize)
     }
 
-    /// Subsetting: a caller that sends everywhere hears of each server rarely. Callers stand evenly spaced on
-    /// a ring of ready servers and take the next ones until each class has enough healthy ones.
+    /// Chooses the subset of servers that this instance sends to, since a caller that sends to all of them
+    /// learns little about each. The instances are spaced evenly on a ring of the ready servers, and each
+    /// takes the next servers until every class has enough healthy ones.
     pub(super) fn choose_subset(&mut self) {
         self.subset_is_stale = false;
         let (n, want) = (self.ring.len(), self.subset_size());
@@ -51,21 +58,23 @@
         }
     }
 
-    /// How many servers this instance sends to now.
+    /// Returns how many servers this instance sends to at present.
     pub(crate) fn servers_in_use(&self) -> usize {
         let is_ready = |&&i: &&u32| self.servers[i as usize].entry.state == ListedState::Ready;
         self.subset.iter().filter(is_ready).count()
     }
 
+    /// Applies a list from discovery, complete or as a delta, and renews what depends on the set of servers.
     pub(super) fn apply_list(&mut self, form: ListForm, entries: &[ServerEntry]) {
         if let Some(s) = self.subscription.as_mut().filter(|_| form != ListForm::Cached) {
             s.heard();
         }
-        let most = entries.iter().map(|e| e.server.0 as usize + 1).max().unwrap_or(0).max(self.servers.len());
+        let server_count =
+            entries.iter().map(|e| e.server.0 as usize + 1).max().unwrap_or(0).max(self.servers.len());
         let unknown = ServerEntry { state: ListedState::Removed, ..Default::default() };
-        self.servers.resize_with(most, || Server { entry: unknown, ..Default::default() });
+        self.servers.resize_with(server_count, || Server { entry: unknown, ..Default::default() });
         if form != ListForm::Delta {
-            let mut listed = vec![false; most];
+            let mut listed = vec![false; server_count];
             entries.iter().for_each(|e| listed[e.server.0 as usize] = true);
             for (s, _) in self.servers.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
                 s.unlist(self.settings.removal_is_advisory);
@@ -77,11 +86,11 @@
                 s.unlist(self.settings.removal_is_advisory);
                 continue;
             }
-            // By its own start, not by its return to the list. Any other start is a later one: its clock may
-            // have been stepped back.
+            // A restart shows in the server's start time, not in its return to the list. Any other start time
+            // counts as a later one, even a smaller one: the server's clock may have been stepped back.
             let restarted = e.started_at.is_some() && e.started_at != s.entry.started_at;
             if restarted || s.time_ratio == 0.0 {
-                // New, or started anew: whatever was learned of its last life is void.
+                // The server is new or has restarted, so what was learned about it before no longer holds.
                 let old = std::mem::take(s);
                 (s.calls, s.is_busy, s.pool) = (old.calls, old.is_busy, old.pool);
                 s.board.first_slot = self.now.0 / SLOT.0;
@@ -101,13 +110,15 @@
         let ready = self.servers.iter().filter(|s| s.entry.state == ListedState::Ready);
         self.ring.extend(ready.map(|s| (s.entry.ring_key, s.entry.server.0)));
         self.ring.sort_unstable();
-        // A list that takes a few servers away is believed. One that takes many may be wrong, and those left
-        // can't bear their load: health tells who is gone. Harm: each caller calls each dead one once.
+        // A list that removes a few servers is believed. One that removes many may be wrong, and the others
+        // could not bear the load, so outlier ejection has to find out which servers are gone. Drawback: each
+        // caller calls each dead server once.
         let doubted = self.servers.iter().filter(|s| s.is_doubted).count();
         self.believes_removals = doubted * MAX_DOUBTED_ONE_IN <= self.ring.len();
         self.pools.iter_mut().for_each(|p| (p.ready_servers, p.mean_units) = (0.0, 0.0));
         for s in self.servers.iter_mut().filter(|s| s.entry.state == ListedState::Ready) {
-            // One that comes back as another kind keeps the pool that its calls are counted in.
+            // A server that comes back as another kind stays in the pool in which its calls in flight are
+            // counted.
             let known = self.pools.iter().position(|p| p.kind == s.entry.kind);
             if s.calls.is_empty() {
                 s.pool = known.unwrap_or(self.pools.len());
@@ -127,21 +138,24 @@
                 } else {
                     1.0
                 };
-                // So many calls a server, shared by the instances, and room for chance.
-                let all = FIRST_LIMIT_PER_SERVER * self.ring.len() as f64
+                // The instances share the first limit of all servers; random variation needs some room on
+                // top.
+                let share = FIRST_LIMIT_PER_SERVER * self.ring.len() as f64
                     / f64::from(self.settings.instances.max(1));
-                p.limit = (all + LIMIT_CHANCE_ROOTS * all.sqrt()) * p.ready_servers / self.ring.len() as f64;
+                p.limit =
+                    (share + LIMIT_CHANCE_ROOTS * share.sqrt()) * p.ready_servers / self.ring.len() as f64;
             }
         }
     }
 }
 
 impl Server {
-    /// Called gone, or left out. Where only draining binds that is a hint: what was ready stays so, in doubt.
-    pub(super) fn unlist(&mut self, drain_binds_alone: bool) {
+    /// Handles that a list reports the server as removed or leaves it out. Where removals are advisory, a
+    /// ready server stays ready and is marked as doubted, and a draining one keeps draining.
+    pub(super) fn unlist(&mut self, removal_is_advisory: bool) {
         match self.entry.state {
-            ListedState::Ready if drain_binds_alone => self.is_doubted = true,
-            ListedState::Draining if drain_binds_alone => {}
+            ListedState::Ready if removal_is_advisory => self.is_doubted = true,
+            ListedState::Draining if removal_is_advisory => {}
             _ => self.entry.state = ListedState::Removed,
         }
     }
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -1,8 +1,10 @@
-//! **The** decisions of one balancer; its face (settings, events, actions) is `garnettally_model`.
+//! The decisions of one balancer. The settings, events and actions of its interface are defined in
+//! `garnettally_model`.
 //!
-//! CSLD: every call's estimated cost is booked onto a per-server time board; each period the booked work
-//! becomes a compressed weight; a call goes to the largest weight net of this instance's own sends since. The
-//! paper's names are kept. Each decision has a module of its own.
+//! The balancer implements CSLD: the estimated cost of each call is booked on a time board of its server;
+//! each period, the booked cost is turned into a compressed weight; a call goes to the server with the
+//! largest weight, net of what this instance has sent there since. The names Nr, Cp, Cr, TC, dec, L_k, W_k
+//! and Q_k are those of the paper. Each kind of decision has its own module.
 
 mod admission;
 mod board;
@@ -36,46 +38,75 @@
 use selection::is_allowed;
 use slow_start::start_by_own_clock;
 
-// Times in microseconds, shares and ratios without a unit.
-const PERIOD: Micros = Micros(200_000); // P and slot_len, from the design page
+/// P and slot_len of the paper, with the value from the design page. In this crate, times of type `f64` are
+/// in microseconds, and shares and ratios have no unit.
+const PERIOD: Micros = Micros(200_000);
 
-const PERIOD_TIMER: u64 = 0; // timer token of the period; a held request's is 1
+/// The token of the timer for the end of a period; the timers of waiting requests and of paused keys have the
+/// next token.
+const PERIOD_TIMER: u64 = 0;
 
 /// The balancer of one caller.
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
+    /// The time of the latest event.
     now: Micros,
+    /// All servers that have ever been listed, by their numbers.
     servers: Vec<Server>,
-    ring: Vec<(u64, u32)>, // All ready servers by key
-    subset: Vec<u32>,      // Those of them that this instance sends to; stale: to be chosen anew
+    /// The ready servers, each with its ring key, in the order of these keys.
+    ring: Vec<(u64, u32)>,
+    /// The servers that this instance sends to.
+    subset: Vec<u32>,
+    /// Whether the subset has to be chosen anew before the next pick.
     subset_is_stale: bool,
-    believes_removals: bool, // Servers that it calls gone get nothing, though they may
-    busy_servers: Vec<u32>,  // Servers with bookings or calls in flight
+    /// Whether servers that a list has removed get no calls though removals are advisory.
+    believes_removals: bool,
+    /// The servers with bookings or calls in flight.
+    busy_servers: Vec<u32>,
+    /// The time from which no server is cold any more.
     cold_until: Micros,
-    // Of this instance's clock: where it was stepped since, starts are dated by the new time
+    /// How far the wall clock is ahead of this instance's clock. If the wall clock has been stepped, new
+    /// starts of servers are dated by its new time.
     wall_clock_ahead: Micros,
+    /// The requests without a final answer, and those with attempts in flight.
     requests: FxHashMap<RequestId, Request>,
+    /// The requests that wait to be sent.
     waiting: Vec<RequestId>,
+    /// The queues of those keys whose requests run in order.
     key_queues: FxHashMap<KeyId, KeyQueue>,
-    mean_times: Vec<Option<f64>>, // Running mean of served time by class: the price without a hint
-    longest_tries: Vec<Micros>,   // The longest that a client's try has been given, by class
-    failure_shares: Vec<FailureShare>, // Classes, then tenants, then those of no tenant
+    /// The running mean of served time by class, which is the price of a request without a hint.
+    mean_times: Vec<Option<f64>>,
+    /// The longest time that a client has given a single try, by class.
+    longest_tries: Vec<Micros>,
+    /// The failure shares of the classes, then of the tenants, then of all requests without a known tenant.
+    failure_shares: Vec<FailureShare>,
+    /// The estimate of served time by price.
     time_estimate: TimeEstimate,
+    /// The requests that each tenant may send within its quota at once.
     quota_tokens: Vec<f64>,
+    /// When the present period ends.
     next_period: Micros,
-    overdue_check_due: bool, // A period has ended since attempts were last looked at
+    /// Whether a period has ended since the last check for overdue attempts.
+    overdue_check_due: bool,
+    /// When the next timer is due; the largest value: no timer is set.
     timer_at: Micros,
     stats: Stats,
+    /// The servers by machine kind.
     pools: Vec<Pool>,
-    limit_dither: f64, // Drawn anew each period: a limit of 0.3 lets one call in three periods of ten
+    /// A random number, 0 to 1, drawn anew each period, that is added to the calls in flight when they are
+    /// compared with a limit. So a limit of 0.3 allows one call in three of ten periods.
+    limit_dither: f64,
+    /// The budget for retries, in calls.
     retry_tokens: f64,
-    subscription: Option<Subscription>, // Where discovery must be asked
+    /// The state of the watch on discovery, where a watch has to be requested.
+    subscription: Option<Subscription>,
 }
 
 impl Balancer {
-    /// A fresh instance: it knows its settings, and nothing else.
+    /// Creates an instance that knows its settings and no servers yet. The seed determines all of its random
+    /// numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Balancer {
         let mut rng = fastrand::Rng::with_seed(seed);
         Balancer {
@@ -92,14 +123,14 @@
             limit_dither: rng.f64(),
             retry_tokens: MIN_RETRY_TOKENS,
             stats: Stats { cr: FIRST_PRICE_US, gain: 1.0, ..Stats::default() },
-            settings: settings,
+            settings,
             rng,
             now,
             ..Balancer::default()
         }
     }
 
-    /// Takes one event, and appends what is to be done about it.
+    /// Handles an event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.now >= self.next_period {
@@ -107,53 +138,55 @@
         }
         match event {
             Event::List { form, entries } => self.apply_list(form, entries),
-            Event::WatchFailed { complete_until: since, failure } => self.watch_failed(since, failure),
+            Event::WatchFailed { complete_until, failure } => self.watch_failed(complete_until, failure),
             Event::DiscoveryAnswerStarted => self.subscription.iter_mut().for_each(|s| s.answering()),
             Event::DiscoveryMoved => self.subscription.iter_mut().for_each(|s| s.moved(self.now)),
             Event::WallClock { ahead } => self.wall_clock_ahead = ahead,
             Event::Request(new) => self.admit(new, actions),
             Event::Outcome(outcome) => self.handle_outcome(outcome, actions),
             Event::ClientLeft(id) => self.close_request(id, actions),
-            Event::PeerVerdict(heard) => self.apply_peer_verdict(heard, actions),
+            Event::PeerVerdict(verdict) => self.apply_peer_verdict(verdict, actions),
             Event::Timer(_) => self.check_overdue(actions),
         }
-        let ask = self.subscription.as_mut().is_some_and(|s| s.poll(self.now));
-        actions.extend(ask.then_some(Action::Watch));
+        let request_watch = self.subscription.as_mut().is_some_and(|s| s.poll(self.now));
+        actions.extend(request_watch.then_some(Action::Watch));
         self.dispatch_waiting(actions);
         self.set_timer(actions);
     }
 
-    /// One timer at a time, at the period's end, and only while time alone can change anything.
+    /// Sets a timer for the end of the period, if time alone can change a decision by then and no earlier
+    /// timer is set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         if self.timer_at <= self.now {
             self.timer_at = Micros(i64::MAX);
         }
-        let flights = self.busy_servers.iter().flat_map(|&i| &self.servers[i as usize].calls);
-        let due = flights.filter(|f| !f.is_overdue).map(|f| f.overdue_at.max(self.next_period)).min();
+        let calls = self.busy_servers.iter().flat_map(|&i| &self.servers[i as usize].calls);
+        let due = calls.filter(|c| !c.is_overdue).map(|c| c.overdue_at.max(self.next_period)).min();
         let at = if self.waiting.is_empty() { due.unwrap_or(self.timer_at) } else { self.next_period };
-        let at = self.subscription.as_ref().and_then(|s| s.next_timeout()).map_or(at, |ask| at.min(ask));
+        let at =
+            self.subscription.as_ref().and_then(|s| s.next_timeout()).map_or(at, |timeout| at.min(timeout));
         if at < self.timer_at {
             self.timer_at = at;
             actions.push(Action::Timer { at, token: PERIOD_TIMER });
         }
     }
 
-    /// So many instances share the servers from now on, and this is which of them this one is.
-    pub fn set_instances(&mut self, instances: u32, me: u32) {
-        (self.settings.instances, self.settings.instance_index, self.subset_is_stale) = (instances, me, true);
+    /// Sets how many instances share the servers, and the number of this one among them.
+    pub fn set_instances(&mut self, instances: u32, instance_index: u32) {
+        (self.settings.instances, self.settings.instance_index, self.subset_is_stale) =
+            (instances, instance_index, true);
         self.subscription.iter_mut().for_each(|s| s.set_instances(instances));
     }
 
-    /// Another instance has asked for the watch until now, and this one does from here on. What it was
-    /// told, and when,
-    /// goes on binding.
-    pub fn take_over_watch(&mut self, before: &Balancer) {
-        if let (Some(mine), Some(theirs)) = (&mut self.subscription, &before.subscription) {
-            mine.go_on_from(theirs);
+    /// Takes over the watch on discovery from another instance. What that instance was notified of, and when,
+    /// stays in force.
+    pub fn take_over_watch(&mut self, previous: &Balancer) {
+        if let (Some(own), Some(other)) = (&mut self.subscription, &previous.subscription) {
+            own.go_on_from(other);
         }
     }
 
-    /// The servers, for those who tell others of them.
+    /// Returns the servers that have ever been listed, for reports on their health.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
--- a/crates/decisions/src/balancer/outlier_ejection.rs
+++ b/crates/decisions/src/balancer/outlier_ejection.rs
@@ -1,133 +1,161 @@
-//! Outlier ejection: servers far worse than their peers get nothing for a while, but for a trial.
+//! Outlier ejection: a server that is far worse than its peers gets no calls for a while, except for single
+//! probes.
 
 use super::*;
 
-pub(super) const OVERDUE_FACTOR: f64 = 8.0; // multiple of the expected time: 1 in 3,000 of exponential times
-pub(super) const MIN_SCORE_WEIGHT: f64 = 0.3; // least weight of one outcome in the outlier score
-pub const EJECT_SCORE: f64 = 0.4; // the score that ejects, above twice the peers' own
-const WELL_SCORE: f64 = 0.1; // the score under which a server is well again
-const SLOW_FROM_FACTOR: f64 = 4.0; // an answer is bad from this multiple of its expected time: 1 in 50
-const SLOW_OVER_FACTOR: f64 = 8.0; // and wholly bad so many multiples later
-const TIMEOUT_OVER_FACTOR: f64 = 3.0; // the same of a time-out, which is bad from once its expected time on
-/// A delay by less than this part of the aim costs the caller nothing, and proves nothing of a server,
-/// however fast it is as a rule: any machine that is full does that.
+/// A call is overdue after this multiple of its expected time; of exponentially distributed times, 1 in 3,000
+/// is longer.
+pub(super) const OVERDUE_FACTOR: f64 = 8.0;
+/// The least weight of one outcome in the outlier score.
+pub(super) const MIN_SCORE_WEIGHT: f64 = 0.3;
+/// The outlier score that ejects a server, if it also exceeds twice the mean of its peers by this much.
+pub const EJECT_SCORE: f64 = 0.4;
+/// The outlier score below which a server counts as recovered.
+const WELL_SCORE: f64 = 0.1;
+/// An answer counts as slow from this multiple of its expected time on; 1 in 50 takes as long.
+const SLOW_FROM_FACTOR: f64 = 4.0;
+/// An answer counts as bad in full this many multiples of its expected time later.
+const SLOW_OVER_FACTOR: f64 = 8.0;
+/// A time-out counts from its expected time on, and as bad in full this many multiples later.
+const TIMEOUT_OVER_FACTOR: f64 = 3.0;
+/// A delay by less than this share of the aim costs the caller nothing and is no evidence against a server,
+/// however fast it usually is: any fully loaded machine causes such delays.
 pub(super) const FREE_DELAY_AIM_SHARE: f64 = 0.02;
-const FULL_DELAY_AIM_SHARE: f64 = 0.1; // and by this part it counts in full
-const FIRST_EJECTION: Micros = Micros(1_000_000); // a few times a call; doubled up to what discovery takes
+/// A delay by this share of the aim may count in full.
+const FULL_DELAY_AIM_SHARE: f64 = 0.1;
+/// The length of the first ejection: a few times that of a call. Doubled, it reaches the time that discovery
+/// takes to remove a server.
+const FIRST_EJECTION: Micros = Micros(1_000_000);
+/// The largest number of times that the length of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-const MAX_EJECTED_ONE_IN: usize = 3; // panic threshold: one in so many; beyond it the trouble is not theirs alone
+/// The panic threshold: at most one in this many servers is ejected. If more are bad, the fault is not theirs
+/// alone.
+const MAX_EJECTED_ONE_IN: usize = 3;
 
-/// An attempt that is out for far longer than expected.
+/// An attempt that has been in flight for far longer than expected.
 struct Overdue {
     id: RequestId,
     attempt: u32,
     class: usize,
-    out: Micros,
+    /// The time since the attempt was sent.
+    elapsed: Micros,
+    /// The time that the attempt was expected to take.
     expected: Micros,
 }
 
 impl Balancer {
-    /// Not ejected, as a whole or for the class; or due for a single trial, by what is safe to repeat, or,
-    /// where none such has come for as long again, by anything: it must come back too.
+    /// Returns whether a server may be called for a class: it is ejected neither as a whole nor for the
+    /// class, or it is due for a single probe. A request that is safe to repeat makes the probe. If none has
+    /// come for as long as the back-off again, any request may, since the server has to be able to come back.
     pub(super) fn is_eligible(&self, s: &Server, class: usize) -> bool {
         let keys = [s.health.first(), s.health.get(class + 1)];
-        keys.into_iter().flatten().all(|m| match m.ejected_until {
+        keys.into_iter().flatten().all(|record| match record.ejected_until {
             None => true,
             Some(until) => {
-                let safe = matches!(self.settings.classes[class].effect, Effect::Safe);
-                let due =
-                    until + if safe { Micros(0) } else { back_off_after(self.first_back_off(), m.ejections) };
+                let is_safe = matches!(self.settings.classes[class].effect, Effect::Safe);
+                let due = until
+                    + if is_safe {
+                        Micros(0)
+                    } else {
+                        back_off_after(self.first_back_off(), record.ejections)
+                    };
                 self.now >= due
-                    && !m.probe_in_flight
+                    && !record.probe_in_flight
                     && s.calls.is_empty()
-                    && (m.peer_severity == 0.0 || m.probes_here)
+                    && (record.peer_severity == 0.0 || record.probes_here)
             }
         })
     }
 
-    /// The first back-off: never shorter than it takes to come round to the same server again.
+    /// Returns the first back-off. It is not shorter than the time in which this instance sends as many calls
+    /// as its subset has servers, up to a bound.
     pub(super) fn first_back_off(&self) -> Micros {
         let round = self.subset.len() as f64 / self.stats.nr.max(0.01) * PERIOD.0 as f64;
         FIRST_EJECTION.max(Micros(round as i64)).min(Micros(FIRST_EJECTION.0 << MAX_EJECTION_DOUBLINGS))
     }
 
-    /// One outcome's part in the outlier scores: of the server, and of the server for the class. What the
-    /// class's own score tells already speaks less against the server. Harm: a good one may rest.
+    /// Removes an ended call from its server, and adds its outcome to the outlier scores of the server as a
+    /// whole and of the server for the class. The higher the score for the class already is, the less the
+    /// outcome counts against the server as a whole. `blame` is the share of the outcome, 0 to 1, that is
+    /// attributed to the server. Drawback: a good server may be ejected for a while.
     pub(super) fn record_outcome(
         &mut self,
         server: ServerId,
         class: usize,
         expected: f64,
-        part: f64,
+        blame: f64,
         o: &Outcome,
     ) {
-        let (now, first) = (self.now, self.first_back_off());
+        let (now, first_back_off) = (self.now, self.first_back_off());
         let s = &mut self.servers[server.0 as usize];
-        let Some(i) = s.calls.iter().position(|f| f.id == o.id && f.attempt == o.attempt) else { return };
-        let flight = s.calls.swap_remove(i);
+        let Some(i) = s.calls.iter().position(|c| c.id == o.id && c.attempt == o.attempt) else { return };
+        let call = s.calls.swap_remove(i);
         self.pools[s.pool].calls_in_flight -= 1;
         s.is_unreachable = o.code == Code::ConnectFailed;
         s.has_answered |= matches!(o.code, Code::Ok | Code::Error | Code::Full | Code::Rejected);
         s.confirmed_at = match o.code {
-            Code::Ok | Code::Error => s.confirmed_at.max(flight.sent_at),
+            Code::Ok | Code::Error => s.confirmed_at.max(call.sent_at),
             Code::Full | Code::ConnectFailed => NEVER,
             _ => s.confirmed_at,
         };
         if !matches!(o.code, Code::ConnectFailed | Code::Moot | Code::Reset) {
             (s.idle_connections, s.idle_since) = (s.idle_connections + 1, now);
         }
-        if let Some(held) = o.load.and_then(|l| l.in_flight) {
-            s.reported_load = Some((held, now));
-            self.stats.mean_reported_load += CALL_WEIGHT * (held - self.stats.mean_reported_load);
+        if let Some(in_progress) = o.load.and_then(|l| l.in_flight) {
+            s.reported_load = Some((in_progress, now));
+            self.stats.mean_reported_load += CALL_WEIGHT * (in_progress - self.stats.mean_reported_load);
         }
         let bad = match o.code {
-            // Slow answers tell of a slow server as time-outs do, from further off: work is heavy-tailed.
+            // Slow answers are evidence of a slow server as time-outs are, but only from a later time on,
+            // since work is heavy-tailed.
             Code::Ok => {
                 self.lateness(class, o.latency, SLOW_FROM_FACTOR * expected, SLOW_OVER_FACTOR * expected)
             }
             Code::Error | Code::Reset | Code::ConnectFailed => 1.0,
-            // One that was overdue has told; another tells as much as it was late when its time was up.
-            Code::Timeout | Code::Cancelled if flight.is_overdue => {
-                return health_of(s, class).for_each(|m| m.finish_probe(now, first, false));
+            // An overdue call has already been added to the scores. Any other time-out counts by how late it
+            // was.
+            Code::Timeout | Code::Cancelled if call.is_overdue => {
+                return health_of(s, class)
+                    .for_each(|record| record.finish_probe(now, first_back_off, false));
             }
             Code::Timeout => self.lateness(class, o.latency, expected, TIMEOUT_OVER_FACTOR * expected),
             _ => 0.0,
-        } * part;
+        } * blame;
         let s = &mut self.servers[server.0 as usize];
         let answered_well = o.code == Code::Ok && bad == 0.0;
-        // Its time was up, or it was given up, before it could tell anything.
+        // The attempt ended before it could show anything about the server.
         if bad == 0.0 && !matches!(o.code, Code::Ok | Code::Error) {
-            return health_of(s, class).for_each(|m| m.probe_in_flight = false);
+            return health_of(s, class).for_each(|record| record.probe_in_flight = false);
         }
         s.last_ok_at = if answered_well { now } else { s.last_ok_at };
         if bad > 0.0 {
-            let (latency, held_up, expected) = (o.latency, o.local_delay, Micros(expected as i64));
-            s.last_bad_outcome =
-                Some(BadOutcome { code: Some(o.code), latency, local_delay: held_up, expected });
+            let (latency, local_delay, expected) = (o.latency, o.local_delay, Micros(expected as i64));
+            s.last_bad_outcome = Some(BadOutcome { code: Some(o.code), latency, local_delay, expected });
         }
         update_scores(s, class, bad, now);
-        // Called gone, it answers: the list is wrong. Or nobody is there.
+        // A list removed the server, but removals are advisory. If it answers, the list is wrong; if it can't
+        // be reached, the list is right.
         if s.is_doubted && answered_well {
             (s.is_doubted, self.subset_is_stale) = (false, true);
         } else if s.is_doubted && o.code == Code::ConnectFailed {
-            let out = now + back_off_after(first, MAX_EJECTION_DOUBLINGS);
-            let struck = HealthRecord {
+            let ejected_until = now + back_off_after(first_back_off, MAX_EJECTION_DOUBLINGS);
+            let ejected = HealthRecord {
                 outlier_score: 1.0,
-                ejected_until: Some(out),
+                ejected_until: Some(ejected_until),
                 ejections: MAX_EJECTION_DOUBLINGS,
                 ..HealthRecord::default()
             };
-            s.health[0] = HealthRecord { by_own_score: true, ..struck };
+            s.health[0] = HealthRecord { by_own_score: true, ..ejected };
         }
-        for m in health_of(s, class) {
-            let was = m.ejected_until.is_some();
-            m.finish_probe(now, first, bad < 0.5);
-            self.subset_is_stale |= was && m.ejected_until.is_none();
+        for record in health_of(s, class) {
+            let was_ejected = record.ejected_until.is_some();
+            record.finish_probe(now, first_back_off, bad < 0.5);
+            self.subset_is_stale |= was_ejected && record.ejected_until.is_none();
         }
     }
 
-    /// How far an answer is late, 0 to 1: from so many microseconds on, in full so many later. Neither is
-    /// less than what a delay costs the caller.
+    /// Returns how late an answer is, 0 to 1. Lateness starts at `from` microseconds and is full `over`
+    /// microseconds later. Both are raised to delays that cost the caller something.
     fn lateness(&self, class: usize, latency: Micros, from: f64, over: f64) -> f64 {
         let aim = self.settings.classes[class].aim.0 as f64;
         let from = from.max(FREE_DELAY_AIM_SHARE * aim);
@@ -135,101 +163,113 @@
         ((latency.0 as f64 - from) / over).clamp(0.0, 1.0)
     }
 
-    /// An attempt far past its expected time speaks against its server, if nothing was answered since it
-    /// went out: a hung server shows in nothing else. Where rule 2 and the budget let it, it is called off.
-    /// Harm: a heavy call ejects a good server for a while. One that still answers is left alone. Only when
-    /// time alone passes: all that had come by then has been told, one after the other.
+    /// Counts attempts that are far past their expected time as bad outcomes of their servers, if the server
+    /// has answered nothing since the attempt was sent: a server that hangs shows in nothing else, and one
+    /// that still answers is not affected. Where rule 2 and the retry budget allow it, such attempts are
+    /// cancelled. This runs on timer events only, once per period: by then every outcome that had arrived has
+    /// been handled, one after the other. Drawback: a call with much work ejects a good server for a while.
     pub(super) fn check_overdue(&mut self, actions: &mut Vec<Action>) {
         if !std::mem::take(&mut self.overdue_check_due) {
             return;
         }
         let now = self.now;
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         for &i in &self.busy_servers {
             let s = &mut self.servers[i as usize];
-            let last_ok = s.last_ok_at;
-            let due = s.calls.iter_mut().filter(|f| !f.is_overdue && f.overdue_at <= now);
-            let mut told: Vec<Overdue> = Vec::new();
-            for f in due {
-                f.is_overdue = true;
-                let expected = Micros((f.overdue_at - f.sent_at - PERIOD).0.max(0) / OVERDUE_FACTOR as i64);
-                let overdue =
-                    Overdue { id: f.id, attempt: f.attempt, class: f.class, out: now - f.sent_at, expected };
-                told.extend((last_ok <= f.sent_at).then_some(overdue));
+            let last_ok_at = s.last_ok_at;
+            let due = s.calls.iter_mut().filter(|c| !c.is_overdue && c.overdue_at <= now);
+            let mut unanswered_here: Vec<Overdue> = Vec::new();
+            for call in due {
+                call.is_overdue = true;
+                let expected =
+                    Micros((call.overdue_at - call.sent_at - PERIOD).0.max(0) / OVERDUE_FACTOR as i64);
+                let overdue = Overdue {
+                    id: call.id,
+                    attempt: call.attempt,
+                    class: call.class,
+                    elapsed: now - call.sent_at,
+                    expected,
+                };
+                unanswered_here.extend((last_ok_at <= call.sent_at).then_some(overdue));
             }
-            for overdue in &told {
+            for overdue in &unanswered_here {
                 update_scores(s, overdue.class, 1.0, now);
-                let (latency, expected) = (overdue.out, overdue.expected);
+                let (latency, expected) = (overdue.elapsed, overdue.expected);
                 s.last_bad_outcome =
                     Some(BadOutcome { code: None, latency, local_delay: Micros(0), expected });
             }
-            silent.extend(told);
+            unanswered.extend(unanswered_here);
         }
-        if !silent.is_empty() {
+        if !unanswered.is_empty() {
             self.eject(actions);
         }
-        for Overdue { id, attempt, .. } in silent {
+        for Overdue { id, attempt, .. } in unanswered {
             let Some(r) = self.requests.get(&id).filter(|r| !r.is_finished && self.settings.may_cancel)
             else {
                 continue;
             };
-            let again = !matches!(self.settings.classes[r.class].effect, Effect::Unsafe)
+            let may_retry = !matches!(self.settings.classes[r.class].effect, Effect::Unsafe)
                 && r.attempts.len() < self.settings.max_attempts as usize;
-            // A hung attempt must not cost those that wait for its key their time.
-            let behind = r.key.and_then(|k| self.key_queues.get(&k)).is_some_and(|t| t.requests.len() > 1);
-            if behind || (again && self.retry_tokens >= 1.0 && self.value(id, r, IN_TIME_FACTOR) > 0.0) {
+            // An attempt that hangs must not use up the time of the requests that wait for its key.
+            let others_wait =
+                r.key.and_then(|k| self.key_queues.get(&k)).is_some_and(|q| q.requests.len() > 1);
+            if others_wait
+                || (may_retry && self.retry_tokens >= 1.0 && self.value(id, r, IN_TIME_FACTOR) > 0.0)
+            {
                 actions.push(Action::Cancel { id, attempt });
             }
         }
     }
 
-    /// Ejects servers far worse than their peers, the worst first, up to a capped share. Relative, since the
-    /// callers of a failing lower tier all err together, and nobody is to be ejected for that.
+    /// Ejects servers that are far worse than their peers, the worst first, up to the panic threshold. The
+    /// comparison is relative because all servers that call a failing lower tier return errors together, and
+    /// none of them should be ejected for that.
     pub(super) fn eject(&mut self, actions: &mut Vec<Action>) {
-        let members = self.subset.iter().map(|&i| &self.servers[i as usize]);
-        let (mut n, mut ejected, mut sum, mut hot) = (0, 0, Vec::new(), Vec::new());
-        for s in members.filter(|s| s.entry.state == ListedState::Ready) {
-            n += 1;
-            sum.resize(sum.len().max(s.health.len()), 0.0);
-            ejected += usize::from(s.health.iter().any(|m| m.ejected_until.is_some()));
-            for (key, m) in s.health.iter().enumerate() {
-                // Own fresh experience goes before hearsay.
-                let bad = if m.peer_found_at > s.last_ok_at {
-                    m.outlier_score.max(m.peer_severity)
+        let subset = self.subset.iter().map(|&i| &self.servers[i as usize]);
+        let (mut ready, mut ejected, mut sums, mut candidates) = (0, 0, Vec::new(), Vec::new());
+        for s in subset.filter(|s| s.entry.state == ListedState::Ready) {
+            ready += 1;
+            sums.resize(sums.len().max(s.health.len()), 0.0);
+            ejected += usize::from(s.health.iter().any(|record| record.ejected_until.is_some()));
+            for (key, record) in s.health.iter().enumerate() {
+                // A good answer to this instance outweighs an older verdict of others.
+                let bad = if record.peer_found_at > s.last_ok_at {
+                    record.outlier_score.max(record.peer_severity)
                 } else {
-                    m.outlier_score
+                    record.outlier_score
                 };
-                sum[key] += bad;
-                if m.ejected_until.is_none() && bad >= EJECT_SCORE {
-                    hot.push((
+                sums[key] += bad;
+                if record.ejected_until.is_none() && bad >= EJECT_SCORE {
+                    candidates.push((
                         bad,
                         s.entry.server.0 as usize,
                         key,
-                        back_off_after(self.first_back_off(), m.ejections),
+                        back_off_after(self.first_back_off(), record.ejections),
                     ));
                 }
             }
         }
-        hot.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.2.cmp(&b.2)));
-        for (bad, server, key, wait) in hot {
-            let peers = (sum[key] - bad) / (n - 1).max(1) as f64;
-            // One out for a class already takes no more of the share: among few it would stay.
-            let more = self.servers[server].health.iter().all(|m| m.ejected_until.is_none());
-            let full = more && ejected >= (n / MAX_EJECTED_ONE_IN).max(1);
-            if n < 2 || full || bad < EJECT_SCORE + 2.0 * peers {
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.2.cmp(&b.2)));
+        for (bad, server, key, back_off) in candidates {
+            let mean_of_peers = (sums[key] - bad) / (ready - 1).max(1) as f64;
+            // A server that is already ejected for a class does not count again; otherwise, among few
+            // servers, it could never be ejected as a whole.
+            let is_first = self.servers[server].health.iter().all(|record| record.ejected_until.is_none());
+            let is_full = is_first && ejected >= (ready / MAX_EJECTED_ONE_IN).max(1);
+            if ready < 2 || is_full || bad < EJECT_SCORE + 2.0 * mean_of_peers {
                 continue;
             }
-            let last_bad = self.servers[server].last_bad_outcome;
-            let m = &mut self.servers[server].health[key];
-            (m.ejected_until, m.ejections) = (Some(self.now + wait), m.ejections + 1);
-            m.by_own_score = m.outlier_score >= EJECT_SCORE;
-            ejected += usize::from(more);
+            let last_bad_outcome = self.servers[server].last_bad_outcome;
+            let record = &mut self.servers[server].health[key];
+            (record.ejected_until, record.ejections) = (Some(self.now + back_off), record.ejections + 1);
+            record.by_own_score = record.outlier_score >= EJECT_SCORE;
+            ejected += usize::from(is_first);
             self.subset_is_stale = true;
-            if m.ejections == 1 {
+            if record.ejections == 1 {
                 let what = if key == 0 { String::new() } else { format!(" for class {}", key - 1) };
-                let last = match last_bad.filter(|_| m.by_own_score) {
-                    Some(last) => format!(": {last}"),
-                    None => ", by others' word".to_string(),
+                let last = match last_bad_outcome.filter(|_| record.by_own_score) {
+                    Some(outcome) => format!(": {outcome}"),
+                    None => ", by the verdict of other instances".to_string(),
                 };
                 let text = format!("server {server} ejected{what}, outlier score {bad:.2}{last}");
                 actions.push(Action::Log(text));
@@ -237,33 +277,43 @@
         }
     }
 
-    /// What others found counts like an own score, under the same cap. A few of those that found it try the
-    /// server for all; with their word that it is well, or when it grows old, it is back without a trial.
-    pub(super) fn apply_peer_verdict(&mut self, h: PeerVerdict, actions: &mut Vec<Action>) {
-        let key = h.class.map_or(0, |c| c.0 as usize + 1);
-        let Some(s) = self.servers.get_mut(h.server.0 as usize) else { return };
+    /// Applies a verdict of other instances, which counts like this instance's own score and under the same
+    /// panic threshold. A few of the instances that found the fault probe the server on behalf of all. Once
+    /// these report it as recovered, or the verdict is too old, the other instances use the server again
+    /// without a probe.
+    pub(super) fn apply_peer_verdict(&mut self, verdict: PeerVerdict, actions: &mut Vec<Action>) {
+        let key = verdict.class.map_or(0, |c| c.0 as usize + 1);
+        let Some(s) = self.servers.get_mut(verdict.server.0 as usize) else { return };
         s.health.resize(s.health.len().max(key + 1), HealthRecord::default());
-        let m = &mut s.health[key];
-        if h.severity == 0.0 && m.peer_severity > 0.0 && !m.probes_here {
-            (m.outlier_score, m.ejected_until, m.probe_in_flight) = (0.0, None, false);
+        let record = &mut s.health[key];
+        if verdict.severity == 0.0 && record.peer_severity > 0.0 && !record.probes_here {
+            (record.outlier_score, record.ejected_until, record.probe_in_flight) = (0.0, None, false);
             self.subset_is_stale = true;
         }
-        (m.peer_severity, m.peer_found_at, m.probes_here) = (h.severity, h.found_at, h.probes_here);
+        (record.peer_severity, record.peer_found_at, record.probes_here) =
+            (verdict.severity, verdict.found_at, verdict.probes_here);
         self.eject(actions);
     }
 }
 
-/// Back-off by strikes.
-fn back_off_after(first: Micros, strikes: u32) -> Micros {
-    Micros((first.0 << strikes.min(MAX_EJECTION_DOUBLINGS)).min(FIRST_EJECTION.0 << MAX_EJECTION_DOUBLINGS))
+/// Returns the back-off after this number of earlier ejections: each doubles the first back-off, up to a
+/// bound.
+fn back_off_after(first: Micros, ejections: u32) -> Micros {
+    Micros((first.0 << ejections.min(MAX_EJECTION_DOUBLINGS)).min(FIRST_EJECTION.0 << MAX_EJECTION_DOUBLINGS))
 }
 
-/// The marks that a call of the class speaks to.
+/// Returns the health records that a call of the class affects: that of the server as a whole, and that for
+/// the class.
 pub(super) fn health_of(s: &mut Server, class: usize) -> impl Iterator<Item = &mut HealthRecord> {
-    s.health.iter_mut().enumerate().filter(move |(key, _)| *key == 0 || *key == class + 1).map(|(_, m)| m)
+    s.health
+        .iter_mut()
+        .enumerate()
+        .filter(move |(key, _)| *key == 0 || *key == class + 1)
+        .map(|(_, record)| record)
 }
 
-/// Books an outcome on the outlier scores. The rarer a server's outcomes, the more each one says.
+/// Adds an outcome, 0 (good) to 1 (bad), to the outlier scores. The rarer the outcomes of a server are, the
+/// more each one weighs.
 fn update_scores(s: &mut Server, class: usize, bad: f64, now: Micros) {
     if s.health.is_empty() && bad == 0.0 {
         s.last_ended_at = now;
@@ -272,30 +322,31 @@
     if s.health.len() < class + 2 {
         s.health.resize(class + 2, HealthRecord::default());
     }
-    let k = Balancer::signal_weight(now - s.last_ended_at).max(MIN_SCORE_WEIGHT);
+    let weight = Balancer::signal_weight(now - s.last_ended_at).max(MIN_SCORE_WEIGHT);
     s.last_ended_at = now;
-    let known = if bad > 0.0 { s.health[class + 1].outlier_score } else { 0.0 };
-    for (key, part) in [(0, 1.0 - known), (class + 1, 1.0)] {
-        let m = &mut s.health[key];
-        m.outlier_score += k * part * (bad - m.outlier_score);
-        if m.outlier_score < WELL_SCORE && m.ejected_until.is_none() && bad == 0.0 {
-            m.ejections = m.ejections.saturating_sub(1);
+    let class_score = if bad > 0.0 { s.health[class + 1].outlier_score } else { 0.0 };
+    for (key, share) in [(0, 1.0 - class_score), (class + 1, 1.0)] {
+        let record = &mut s.health[key];
+        record.outlier_score += weight * share * (bad - record.outlier_score);
+        if record.outlier_score < WELL_SCORE && record.ejected_until.is_none() && bad == 0.0 {
+            record.ejections = record.ejections.saturating_sub(1);
         }
     }
 }
 
 impl HealthRecord {
-    /// How a trial went: one success halves the score, and a server well again is let back in.
-    pub(super) fn finish_probe(&mut self, now: Micros, first: Micros, well: bool) {
+    /// Records how a probe ended. A success halves the score, and a server whose score is low enough is used
+    /// again. A failure extends the ejection.
+    pub(super) fn finish_probe(&mut self, now: Micros, first_back_off: Micros, succeeded: bool) {
         self.probe_in_flight = false;
         let Some(until) = self.ejected_until else { return };
-        if well {
+        if succeeded {
             self.outlier_score *= 0.5;
             if self.outlier_score < WELL_SCORE {
                 self.ejected_until = None;
             }
         } else if until <= now {
-            self.ejected_until = Some(now + back_off_after(first, self.ejections));
+            self.ejected_until = Some(now + back_off_after(first_back_off, self.ejections));
             self.ejections += 1;
         }
     }
--- a/crates/decisions/src/balancer/request_faults.rs
+++ b/crates/decisions/src/balancer/request_faults.rs
@@ -1,32 +1,38 @@
-//! Classes and tenants whose requests fail wherever they go: not their servers' fault.
+//! Classes and tenants whose requests fail on any server, so that the servers are not to blame.
 
 use super::*;
 
-const SIGNAL_MEMORY_US: f64 = 3e6; // memory, in time
-const MAX_SIGNAL_WEIGHT: f64 = 0.5; // most weight of one call
-/// Share of a class or tenant failing beyond its peers past which it fails by itself.
+/// The time constant, in microseconds, with which the means of failures and congestion forget.
+const SIGNAL_MEMORY_US: f64 = 3e6;
+/// The largest weight of one call in these means.
+const MAX_SIGNAL_WEIGHT: f64 = 0.5;
+/// The excess of failures of a class or tenant over the others from which the failures count as its own
+/// fault.
 pub(super) const FAULTY_SHARE: f64 = 0.6;
 
 impl Balancer {
-    /// How far a request's class or tenant fails or drags beyond its peers, wherever it goes: so much of it
-    /// is not its server's. Past STRUCK it moves no mean, no limit, is not tried again, gets half the room.
-    /// Guards against bad input and slow back ends. Harm: a class that most servers fail is borne.
+    /// Returns how far the class or tenant of a request fails or is late beyond the others, on whichever
+    /// servers. This share of a failure is not attributed to the server. From [`FAULTY_SHARE`] on, the
+    /// request changes no mean and no limit, is not retried, and may use only half of the concurrency limit.
+    /// This guards against bad input and slow back ends. Drawback: where most servers fail a class, they are
+    /// not ejected for it.
     pub(super) fn fault_share(&self, r: &Request) -> f64 {
         self.failure_shares[r.class].excess.max(self.failure_shares[r.tenant_index].excess)
     }
 
-    pub(super) fn record_fault(&mut self, sides: [usize; 2], expected: f64, o: &Outcome) {
-        let late = (o.latency.0 as f64 - expected) / self.settings.classes[sides[0]].aim.0.max(1) as f64;
+    /// Adds an outcome to the failure shares of its class and tenant, whose indices are given.
+    pub(super) fn record_fault(&mut self, indices: [usize; 2], expected: f64, o: &Outcome) {
+        let late = (o.latency.0 as f64 - expected) / self.settings.classes[indices[0]].aim.0.max(1) as f64;
         let bad = match o.code {
             Code::Error => 1.0,
             Code::Ok | Code::Timeout | Code::Cancelled => late.clamp(0.0, 1.0),
             _ => return,
         };
-        for side in sides {
-            let side = &mut self.failure_shares[side];
-            side.failing +=
-                Self::signal_weight(self.now - side.updated_at).min(MIN_SCORE_WEIGHT) * (bad - side.failing);
-            side.updated_at = self.now;
+        for index in indices {
+            let share = &mut self.failure_shares[index];
+            share.failing += Self::signal_weight(self.now - share.updated_at).min(MIN_SCORE_WEIGHT)
+                * (bad - share.failing);
+            share.updated_at = self.now;
         }
         let (classes, tenants) = self.failure_shares.split_at_mut(self.settings.classes.len());
         for peers in [classes, tenants] {
@@ -37,7 +43,8 @@
         }
     }
 
-    /// Weight of a new value in the means that tell of trouble: by the time since the last one.
+    /// Returns the weight of a new value in the means of failures and congestion, by the time since the last
+    /// value.
     pub(super) fn signal_weight(since: Micros) -> f64 {
         (1.0 - (-(since.0 as f64) / SIGNAL_MEMORY_US).exp()).clamp(CALL_WEIGHT, MAX_SIGNAL_WEIGHT)
     }
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -1,22 +1,29 @@
-//! Retries: what is tried again, under a budget of work done twice.
+//! Retries: which requests are sent again, under a budget for repeated work.
 
 use super::*;
 
-pub(super) const RETRY_RATIO: f64 = 0.1; // calls paid for again, earned by one request
-pub(super) const RETRY_SAVED_PERIODS: f64 = 25.0; // saved up over so many periods
-pub(super) const MIN_RETRY_TOKENS: f64 = 2.0; // and this many at the least
-const RETRY_IN_TIME_FACTOR: f64 = 0.75; // the same for a retry: a chance of one in five is worth more than it costs
-const MIN_RETRY_COST: f64 = 0.2; // least cost of a retry, however quickly the attempt before it failed
+/// The retry tokens, in calls, that each request adds to the budget.
+pub(super) const RETRY_RATIO: f64 = 0.1;
+/// The number of periods over whose requests retry tokens are saved up.
+pub(super) const RETRY_SAVED_PERIODS: f64 = 25.0;
+/// The number of retry tokens that can always be saved up, however few requests there are.
+pub(super) const MIN_RETRY_TOKENS: f64 = 2.0;
+/// Like [`IN_TIME_FACTOR`], for a retry. It is smaller, since a chance of one in five is worth more than a
+/// retry costs.
+const RETRY_IN_TIME_FACTOR: f64 = 0.75;
+/// The least cost of a retry in tokens, however quickly the attempt before it failed.
+const MIN_RETRY_COST: f64 = 0.2;
 
 impl Balancer {
-    /// Retries are for what can still make it, under a budget of work done twice, so that they can't feed an
-    /// overload. What failed at once has cost little, and is cheap to try again.
+    /// Retries a request that can still be answered in time, or answers it finally. The budget for repeated
+    /// work keeps retries from adding to an overload. A retry costs as many tokens as the failed attempt took
+    /// of its expected time, at most 1, so an attempt that failed at once is cheap to retry.
     pub(super) fn retry(&mut self, id: RequestId, spent: f64, actions: &mut Vec<Action>) {
         let cost = spent.clamp(MIN_RETRY_COST, 1.0);
-        let hopeful =
+        let is_worthwhile =
             |r: &Request| self.value(id, r, RETRY_IN_TIME_FACTOR) > 0.0 && self.fault_share(r) < FAULTY_SHARE;
-        let hopeful = self.requests.get(&id).is_some_and(hopeful);
-        if !hopeful || self.retry_tokens < cost {
+        let is_worthwhile = self.requests.get(&id).is_some_and(is_worthwhile);
+        if !is_worthwhile || self.retry_tokens < cost {
             return self.refuse_or_fail(id, actions);
         }
         self.retry_tokens -= cost;
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -1,36 +1,50 @@
-//! Selection of a server for an attempt, and the send.
+//! The selection of a server for an attempt, and the send.
 
 use super::*;
 
-const RANDOM_FACTOR_SPREAD: f64 = 0.25; // a server's luck lies so far from 1: equals are told apart, speeds not drowned
-const NEW_CONNECTION_CALLS: f64 = 40.0; // calls on its board that a server without an idle connection is charged
-const MIN_OPEN_SERVERS: usize = 2; // once so many have one: boards are left a choice
-const CROSSING_CALLS: f64 = 400.0; // the same for another zone, times what a crossing costs of a request's worth
-const LOW_WORTH_LIMIT_SHARE: f64 = 0.5; // part of it for requests worth little
+/// The largest distance of a server's random factor from 1: enough to spread calls over equal servers, and
+/// too little to hide differences in speed.
+const RANDOM_FACTOR_SPREAD: f64 = 0.25;
+/// The cost, in calls booked on its board, that is added for a server without an idle connection.
+const NEW_CONNECTION_CALLS: f64 = 40.0;
+/// The number of servers with an idle connection from which this cost is added, so that the boards have a
+/// choice.
+const MIN_OPEN_SERVERS: usize = 2;
+/// The cost, in calls, that is added for a server in another zone, multiplied by
+/// [`Settings::crossing_price`].
+const CROSSING_CALLS: f64 = 400.0;
+/// The share of the concurrency limit that requests of little worth may use.
+const LOW_WORTH_LIMIT_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// The largest weight net of own sends since the last update, among the servers that may be sent to.
+    /// Picks the server with the largest weight, net of this instance's sends since the last update, among
+    /// the servers that the request may be sent to.
     pub(super) fn pick(&mut self, id: RequestId, retry: bool) -> PickResult {
         if self.subset_is_stale {
             self.choose_subset();
         }
         let Some(r) = self.requests.get(&id) else { return PickResult::NoServer };
-        let two = !self.settings.parallel_attempts && r.attempts.iter().any(|a| a.in_flight);
-        if two || r.expires <= self.now || r.attempts.len() >= self.settings.max_attempts as usize {
+        let would_be_parallel = !self.settings.parallel_attempts && r.attempts.iter().any(|a| a.in_flight);
+        if would_be_parallel
+            || r.expires <= self.now
+            || r.attempts.len() >= self.settings.max_attempts as usize
+        {
             return PickResult::NoServer;
         }
-        // Rule 3.
+        // Rule 3: nothing is sent by a list that may lack changes which already have to be obeyed.
         if self.list_is_stale() {
             return PickResult::Wait;
         }
-        // Rule 6: one at a time for each key, by arrival; then the key rests. The one that has the turn has
-        // had its rest. Waiting for it is no crowding.
-        if let Some(turn) = r.key.and_then(|k| self.key_queues.get(&k)) {
-            if turn.requests.front() != Some(&id) || (r.attempts.is_empty() && self.now < turn.paused_until) {
+        // Rule 6: requests with the same key run one at a time, in the order of arrival, and the key is
+        // paused after one that may still be running. The pause does not apply to retries of the first
+        // request in the queue. Waiting for the key does not count as congestion.
+        if let Some(queue) = r.key.and_then(|k| self.key_queues.get(&k)) {
+            if queue.requests.front() != Some(&id) || (r.attempts.is_empty() && self.now < queue.paused_until)
+            {
                 return PickResult::Wait;
             }
         }
-        // Rule 2: what may have run, or may run yet, binds later sends.
+        // Rule 2: an attempt that may have run, or may still run, restricts where later attempts may go.
         let effect = self.settings.classes[r.class].effect;
         let mut bound: Option<(DedupScope, &ServerEntry)> = None;
         for a in r.attempts.iter().filter(|a| a.may_have_run) {
@@ -40,128 +54,135 @@
                 Effect::Keyed { window, .. } if self.now - a.sent_at >= window => {
                     return PickResult::NoServer
                 }
-                Effect::Keyed { scope: group, .. } => {
-                    bound = Some((group, &self.servers[a.server.0 as usize].entry))
+                Effect::Keyed { scope, .. } => {
+                    bound = Some((scope, &self.servers[a.server.0 as usize].entry))
                 }
             }
         }
-        // Room under the limit, less for what is past a tenant's share, repeated by a client, or struck.
-        let low = self.settings.tier == 0 && (r.over_quota || r.is_repeat);
-        let struck = self.fault_share(r) >= FAULTY_SHARE;
-        let less = |p: &Pool| struck || (low && p.congestion > CONGESTED / 2.0);
-        let part = |p: &Pool| if less(p) { LOW_WORTH_LIMIT_SHARE } else { 1.0 };
-        let room = |p: &Pool| retry || p.calls_in_flight as f64 + self.limit_dither < part(p) * p.limit;
-        if !self.pools.is_empty() && !self.pools.iter().any(room) {
+        // Requests beyond the quota of their tenant, repeats by clients, and requests of a class or tenant
+        // that fails on any server get a smaller part of the concurrency limit.
+        let is_low = self.settings.tier == 0 && (r.over_quota || r.is_repeat);
+        let is_faulty = self.fault_share(r) >= FAULTY_SHARE;
+        let is_reduced = |p: &Pool| is_faulty || (is_low && p.congestion > CONGESTED / 2.0);
+        let share = |p: &Pool| if is_reduced(p) { LOW_WORTH_LIMIT_SHARE } else { 1.0 };
+        let has_room = |p: &Pool| retry || p.calls_in_flight as f64 + self.limit_dither < share(p) * p.limit;
+        if !self.pools.is_empty() && !self.pools.iter().any(has_room) {
             return PickResult::Wait;
         }
-        let cold = |since: Micros| self.now < since + self.settings.ramp_time;
-        let (mut best, mut waits) = ([None; 4], false);
-        let idle =
+        let is_cold = |started_at: Micros| self.now < started_at + self.settings.ramp_time;
+        let (mut best, mut must_wait) = ([None; 4], false);
+        let with_idle_connection =
             self.subset.iter().filter(|&&i| self.has_idle_connection(&self.servers[i as usize])).count();
         for s in self.subset.iter().map(|&i| &self.servers[i as usize]) {
-            let same = match bound {
-                Some((DedupScope::Zone, n)) => n.zone == s.entry.zone,
-                Some((DedupScope::Cell, n)) => n.zone == s.entry.zone && n.cell == s.entry.cell,
+            let is_in_scope = match bound {
+                Some((DedupScope::Zone, first)) => first.zone == s.entry.zone,
+                Some((DedupScope::Cell, first)) => first.zone == s.entry.zone && first.cell == s.entry.cell,
                 _ => true,
             };
-            // Rule 5 binds every attempt.
+            // Rule 5 applies to every attempt.
             if s.entry.state != ListedState::Ready
-                || !same
+                || !is_in_scope
                 || !is_allowed(&self.settings.classes[r.class], &s.entry)
             {
                 continue;
             }
             let rank = match self.is_eligible(s, r.class) && self.is_likely_to_stay(s) {
-                // it turned one away, and may be leaving
+                // The server declined a call or was unreachable, and may be leaving.
                 false if s.confirmed_at == NEVER && !self.is_watched() => 3,
-                false => 2, // panic: nobody healthy, or none that is likely to stay, is left
+                // Such a server is used only in panic: none is left that is healthy and likely to stay.
+                false => 2,
                 true if r.attempts.iter().any(|a| a.server == s.entry.server) => 1,
                 true => 0,
             };
-            if !room(&self.pools[s.pool])
-                || (s.started_at.is_some_and(cold)
+            if !has_room(&self.pools[s.pool])
+                || (s.started_at.is_some_and(is_cold)
                     && s.cold_bucket < (r.price - self.stats.cr / self.stats.gain).max(0.0))
             {
-                waits |= rank < 2;
+                must_wait |= rank < 2;
                 continue;
             }
-            // Where servers differ, what this call itself would book counts like what is booked already.
-            let own = s.sent_since_update
+            // Where servers differ, the cost that this call would book counts like the cost booked already.
+            let sent = s.sent_since_update
                 + self.stats.dec * self.stats.gain * r.price * self.slowness(s) * s.random_factor;
-            // Join an idle connection: its server has answered, and no own call waits there. Boards of
-            // own sends tell no more of a server than that. Harm: who errs at once looks idle. A cold one
-            // has its bucket, and is free: charged, new servers were met by few or none of all callers.
-            let away = if s.entry.zone == self.settings.zone {
+            // Servers with an idle connection are preferred: such a server has answered, and no call of this
+            // instance waits on that connection. A board of this instance's own sends shows no more than that
+            // about a server. Drawback: a server that fails at once looks idle. A cold server is limited by
+            // its bucket and is not charged for a new connection: when it was, few callers or none sent
+            // anything to new servers.
+            let crossing = if s.entry.zone == self.settings.zone {
                 0.0
             } else {
                 CROSSING_CALLS * self.settings.crossing_price
             };
-            let few = idle < MIN_OPEN_SERVERS || (s.calls.is_empty() && s.started_at.is_some_and(cold));
-            let extra = if self.has_idle_connection(s) || (few && !s.is_unreachable) {
-                away
+            let connects_freely = with_idle_connection < MIN_OPEN_SERVERS
+                || (s.calls.is_empty() && s.started_at.is_some_and(is_cold));
+            let extra = if self.has_idle_connection(s) || (connects_freely && !s.is_unreachable) {
+                crossing
             } else {
-                away + NEW_CONNECTION_CALLS
+                crossing + NEW_CONNECTION_CALLS
             };
-            let net = s.weight - own / self.stats.cr - self.stats.dec * extra;
-            if best[rank].is_none_or(|(w, _): (f64, ServerId)| net > w) {
-                best[rank] = Some((net, s.entry.server));
+            let net_weight = s.weight - sent / self.stats.cr - self.stats.dec * extra;
+            if best[rank].is_none_or(|(weight, _): (f64, ServerId)| net_weight > weight) {
+                best[rank] = Some((net_weight, s.entry.server));
             }
         }
         match best.iter().flatten().next() {
-            Some(b) if best[..2].contains(&Some(*b)) || !waits => PickResult::Server(b.1),
-            _ if waits => PickResult::Wait,
+            Some(b) if best[..2].contains(&Some(*b)) || !must_wait => PickResult::Server(b.1),
+            _ if must_wait => PickResult::Wait,
             _ => PickResult::NoServer,
         }
     }
 
-    /// It has answered on a connection that is idle now, as far as this instance knows.
+    /// Returns whether this instance has an idle connection to the server, as far as it knows.
     pub(super) fn has_idle_connection(&self, s: &Server) -> bool {
         s.idle_connections > 0 && self.now - s.idle_since < self.settings.idle_close
     }
 
+    /// Sends an attempt of the request to the server, and books its cost.
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let slow = self.slowness(&self.servers[server.0 as usize]);
+        let slowness = self.slowness(&self.servers[server.0 as usize]);
         let Some(r) = self.requests.get(&id) else { return };
-        let overdue = Micros((self.time_estimate.served_time(r.price) * OVERDUE_FACTOR) as i64) + PERIOD;
-        let overdue_at = if self.fault_share(r) >= FAULTY_SHARE { r.expires } else { now + overdue };
+        let overdue_after =
+            Micros((self.time_estimate.served_time(r.price) * OVERDUE_FACTOR) as i64) + PERIOD;
+        let overdue_at = if self.fault_share(r) >= FAULTY_SHARE { r.expires } else { now + overdue_after };
         let Some(r) = self.requests.get_mut(&id) else { return };
         let s = &mut self.servers[server.0 as usize];
-        let price = r.price * slow * self.stats.gain;
+        let price = r.price * slowness * self.stats.gain;
         s.board.queue.push((now, price));
         s.sent_since_update += price;
         s.cold_bucket -= r.price;
-        for m in health_of(s, r.class) {
-            m.probe_in_flight = m.ejected_until.is_some();
+        for record in health_of(s, r.class) {
+            record.probe_in_flight = record.ejected_until.is_some();
         }
         s.idle_connections = s.idle_connections.saturating_sub(1);
         if !std::mem::replace(&mut s.is_busy, true) {
             self.busy_servers.push(server.0);
         }
         s.random_factor = 1.0 - RANDOM_FACTOR_SPREAD + 2.0 * RANDOM_FACTOR_SPREAD * self.rng.f64();
-        let (attempt, class, sent, overdue) = (r.attempts.len() as u32, r.class, now, false);
-        let (booked_until, price) = (s.board.tc.max(now.0 as f64) + price, r.price * slow);
+        let (attempt, class, sent_at, is_overdue) = (r.attempts.len() as u32, r.class, now, false);
+        let (booked_until, unscaled_price) = (s.board.tc.max(now.0 as f64) + price, r.price * slowness);
         s.calls.push(InFlightCall {
             id,
             attempt,
             class,
-            sent_at: sent,
+            sent_at,
             overdue_at,
-            is_overdue: overdue,
+            is_overdue,
             booked_until,
-            unscaled_price: price,
+            unscaled_price,
         });
         r.attempts.push(Attempt { server, sent_at: now, in_flight: true, may_have_run: true });
         self.pools[s.pool].calls_in_flight += 1;
         self.stats.sent_count += 1.0;
-        self.stats.sent_raw += price;
-        self.stats.sent_booked += price * self.stats.gain;
+        self.stats.sent_raw += unscaled_price;
+        self.stats.sent_booked += unscaled_price * self.stats.gain;
         actions.push(Action::Send { id, server, timeout: r.expires - now });
     }
 }
 
-/// Rule 5: whether a class may go to a server.
-pub(super) fn is_allowed(class: &Class, news: &ServerEntry) -> bool {
-    let open = |only: &[u32], to: u32| only.is_empty() || only.contains(&to);
-    open(&class.only_kinds, news.kind) && open(&class.only_zones, news.zone)
+/// Rule 5: returns whether a server may serve a class, by its kind and zone.
+pub(super) fn is_allowed(class: &Class, entry: &ServerEntry) -> bool {
+    let is_among = |only: &[u32], value: u32| only.is_empty() || only.contains(&value);
+    is_among(&class.only_kinds, entry.kind) && is_among(&class.only_zones, entry.zone)
 }
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -1,5 +1,6 @@
-//! The module in blocking style: ask it to [`pick`](Decisions::pick), [`report`](Decisions::report) what
-//! came of it, and [`tick`](Decisions::tick) when it is due. Network code sees these types alone.
+//! The decision module as network code uses it: [`pick`](Decisions::pick) chooses a server for a request,
+//! [`report`](Decisions::report) takes what has happened since, and [`tick`](Decisions::tick) has to be
+//! called when [`next_tick`](Decisions::next_tick) is due. Each returns what is to be done now.
 
 use crate::balancer::{Balancer, EJECT_SCORE};
 use crate::state::{HealthRecord, InFlightCall};
@@ -16,103 +17,105 @@
 };
 pub use garnettally_subscription::{ListReport, ListStanding};
 
-/// A request that wants an upstream.
+/// A request for which an upstream is to be picked.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest {
-    /// A number of the caller's choosing, never used again.
+    /// The id of the request, which the caller chooses and never reuses.
     pub request: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, if it is a known one.
+    /// The tenant of the request, if it is a known one.
     pub tenant: Option<TenantId>,
-    /// When its client gives up.
+    /// When the client stops waiting for an answer.
     pub expires: Micros,
-    /// The work it expects to be, if it says.
+    /// The cost hint: the work that the client expects the request to be, if it gave one.
     pub cost: Option<Micros>,
-    /// Its client has tried before.
+    /// Whether the client says that it has tried this request before.
     pub repeat: bool,
-    /// What it concerns.
+    /// The key of the request, by which its class may order requests.
     pub key: Option<KeyId>,
 }
 
-/// What has become known since.
+/// Something that has happened and that the decisions depend on.
 pub enum Report {
     /// An attempt has ended.
     Ended {
-        /// Of this request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Its number among the request's sends, from 0.
+        /// The number of the attempt among those of its request, from 0.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         code: Code,
-        /// How long after it was sent.
+        /// The time from the send to the end of the attempt.
         latency: Duration,
-        /// For how much of that this process did not look at its sockets.
+        /// The part of the latency during which this process was busy and did not read from its sockets.
         local_delay: Duration,
-        /// The requests that its upstream says to hold.
+        /// The number of requests that the upstream reports to have in progress.
         upstream_in_flight: Option<f64>,
-        /// The request has had its answer.
+        /// Whether the request has its final answer.
         answered: bool,
     },
-    /// The client has gone away.
+    /// The client of a request has disconnected.
     ClientLeft(RequestId),
-    /// The list that the balancer was started with, which may be old.
+    /// The list that the balancer was started with, which may be out of date.
     InitialList(HostList),
-    /// News of the upstreams.
+    /// A list of upstreams, complete or as a delta, has come from discovery.
     List(HostList),
-    /// What other instances have found out about an upstream.
+    /// Other instances have reached a verdict on an upstream, or withdrawn it.
     PeerVerdict(PeerVerdict),
-    /// The watch that was asked for could not be had, or has ended.
+    /// The request for a watch has failed, or the watch has ended.
     WatchFailed {
-        /// Where a watch was open: how long before this it had last told, in whole, of all changes.
+        /// Where a watch was open: the time since it last had delivered all changes completely.
         incomplete_for: Duration,
-        /// What was seen.
+        /// How the watch or the request for it failed.
         failure: CallFailure,
     },
-    /// The head of discovery's answer has come; the list is still to come.
+    /// The head of discovery's answer has arrived; the list is still to come.
     DiscoveryAnswerStarted,
-    /// Discovery is at another address from now on; the watch on the old one has ended.
+    /// Discovery has moved to another address, and the watch at the old address has ended.
     DiscoveryMoved,
-    /// The clock that lists date starts by is so far ahead of the times handed in here; below 0: behind.
+    /// The offset between the wall clock, by which lists date the starts of servers, and the times that are
+    /// passed to this module has been measured.
     WallClock {
-        /// By so much.
+        /// How far the wall clock is ahead; a negative value means that it is behind.
         ahead: Micros,
     },
 }
 
-/// What is to be done now.
+/// Something that the caller has to do now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send the request to this upstream and give it so long. Its attempts are numbered from 0 in order.
+    /// Send the request to an upstream. The attempts of a request are numbered from 0 in the order of these
+    /// decisions.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The upstream.
+        /// The upstream to send it to.
         upstream: ServerId,
-        /// The time-out.
+        /// The time-out of the attempt.
         timeout: Duration,
     },
-    /// Keep the request; a later call decides.
+    /// Keep the request waiting; a later call returns the decision on it.
     Wait(RequestId),
-    /// Final answer: refused, and trying again is harmless.
+    /// Answer the client finally that the request is refused; a repeat is harmless.
     Refuse {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// How long its client should stay away, if it is to be told.
+        /// How long the client is advised to wait before it tries again, if it is given advice.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed.
+    /// Answer the client finally that the request has failed; a repeat may not be harmless.
     Fail(RequestId),
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
-        /// Of this request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// This one.
+        /// The number of the attempt among those of its request, from 0.
         attempt: u32,
     },
-    /// Start to watch discovery.
+    /// Request a watch from discovery.
     Watch,
-    /// A line for the log.
+    /// Write this line to the log.
     Log(String),
 }
 
@@ -126,7 +129,7 @@
 }
 
 impl Decisions {
-    /// A fresh module.
+    /// Creates a balancer that knows its settings and no upstreams yet.
     pub fn new(site: Site, seed: u64, now: Micros) -> Decisions {
         let Site { settings, names } = site;
         let effects = settings.classes.iter().map(|c| c.effect).collect();
@@ -134,33 +137,33 @@
         Decisions { balancer, names, effects, due: BinaryHeap::new(), actions: Vec::new() }
     }
 
-    /// The names of the classes, in the order of their numbers.
+    /// Returns the names of the classes, in the order of their numbers.
     pub fn classes(&self) -> &[String] {
         self.names.classes()
     }
 
-    /// The class of this name, and what a repeat of it does.
+    /// Returns the class with this name, and the effect that a repeat of its requests has.
     pub fn class(&self, name: &str) -> Option<(ClassId, Effect)> {
         let class = self.names.class(name)?;
         Some((class, self.effects[class.0 as usize]))
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.names.tenant(name)
     }
 
-    /// The number of a listed upstream.
+    /// Returns the number of an upstream that has been listed.
     pub fn upstream(&self, name: &str) -> Option<ServerId> {
         self.names.server_id(name)
     }
 
-    /// The name of an upstream.
+    /// Returns the name of an upstream.
     pub fn upstream_name(&self, id: ServerId) -> &str {
         self.names.server(id)
     }
 
-    /// Where a new request goes, and what follows from its coming for others.
+    /// Decides on a new request, and on others that its arrival affects.
     pub fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         let new = NewRequest {
             id: ask.request,
@@ -184,7 +187,7 @@
         decisions
     }
 
-    /// Takes in what has become known, and says what follows from it.
+    /// Takes in something that has happened, and returns what is to be done about it.
     pub fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
         let event = match report {
             Report::Ended { request, attempt, code, latency, local_delay, upstream_in_flight, answered } => {
@@ -200,10 +203,10 @@
             }
             Report::ClientLeft(request) => Event::ClientLeft(request),
             Report::PeerVerdict(verdict) => Event::PeerVerdict(verdict),
-            Report::InitialList(list) => return self.hosts(now, ListForm::Cached, &list),
+            Report::InitialList(list) => return self.handle_list(now, ListForm::Cached, &list),
             Report::List(list) => {
                 let form = if list.whole { ListForm::Full } else { ListForm::Delta };
-                return self.hosts(now, form, &list);
+                return self.handle_list(now, form, &list);
             }
             Report::WatchFailed { incomplete_for: silent, failure } => {
                 Event::WatchFailed { complete_until: Micros(now.0 - silent.as_micros() as i64), failure }
@@ -215,49 +218,57 @@
         self.handle(now, event)
     }
 
-    /// What is known of the list of upstreams; `None`: discovery need not be asked for it.
+    /// Returns how far the list of upstreams may be relied on; `None`: no watch has to be requested for it.
     pub fn list_standing(&self, now: Micros) -> Option<ListReport> {
         self.balancer.list_standing(now)
     }
 
-    /// Another module has asked for the watch until now, and this one does from here on.
-    pub fn take_over_watch(&mut self, before: &Decisions) {
-        self.balancer.take_over_watch(&before.balancer);
+    /// Takes over the watch on discovery, and what is known of its list, from another balancer.
+    pub fn take_over_watch(&mut self, previous: &Decisions) {
+        self.balancer.take_over_watch(&previous.balancer);
     }
 
-    /// So many instances share the upstreams from now on, and this is the number, from 0, of this one.
-    pub fn set_instances(&mut self, instances: u32, me: u32) {
-        self.balancer.set_instances(instances.max(1), me.min(instances.saturating_sub(1)));
+    /// Sets how many instances share the upstreams, and the number of this one among them, from 0.
+    pub fn set_instances(&mut self, instances: u32, instance_index: u32) {
+        self.balancer.set_instances(instances.max(1), instance_index.min(instances.saturating_sub(1)));
     }
 
-    /// What this instance has found out by its own calls.
+    /// Returns what this instance has observed of its upstreams by its own calls.
     pub fn local_observations(&self, now: Micros) -> LocalObservations {
-        LocalObservations { servers_in_use: self.balancer.servers_in_use(), servers: self.opinions(now) }
+        LocalObservations {
+            servers_in_use: self.balancer.servers_in_use(),
+            servers: self.server_observations(now),
+        }
     }
 
-    /// What it has found out of those upstreams that it has had doubts about.
-    fn opinions(&self, now: Micros) -> Vec<ServerObservation> {
+    /// Returns the observations of those upstreams that have had bad outcomes or have calls without an
+    /// answer.
+    fn server_observations(&self, now: Micros) -> Vec<ServerObservation> {
         let mut all = Vec::new();
-        let no_mark = [HealthRecord::default()];
+        let no_records = [HealthRecord::default()];
         for s in self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready) {
-            let unanswered = s.calls.iter().filter(|f| s.last_ok_at <= f.sent_at);
-            let part =
-                |f: &InFlightCall| (now - f.sent_at).0 as f64 / (f.overdue_at - f.sent_at).0.max(1) as f64;
-            let silent = unanswered.map(part).fold(0.0, f64::max);
-            let marks = if s.health.is_empty() && silent > 0.0 { &no_mark[..] } else { &s.health };
-            for (key, m) in marks.iter().enumerate() {
-                // Its score is made of its own calls alone, also where hearsay came first.
-                let own = m.ejected_until.is_some() && (m.by_own_score || m.outlier_score >= EJECT_SCORE);
+            let unanswered = s.calls.iter().filter(|c| s.last_ok_at <= c.sent_at);
+            let share =
+                |c: &InFlightCall| (now - c.sent_at).0 as f64 / (c.overdue_at - c.sent_at).0.max(1) as f64;
+            let overdue_share = unanswered.map(share).fold(0.0, f64::max);
+            let records =
+                if s.health.is_empty() && overdue_share > 0.0 { &no_records[..] } else { &s.health };
+            for (key, record) in records.iter().enumerate() {
+                // The score is computed from this instance's calls alone, also where a verdict of others came
+                // first.
+                let by_own_score = record.ejected_until.is_some()
+                    && (record.by_own_score || record.outlier_score >= EJECT_SCORE);
                 all.push(ServerObservation {
                     server: s.entry.server,
                     started_at: s.entry.started_at,
                     class: key.checked_sub(1).map(|c| ClassId(c as u32)),
-                    // While it is ejected it is as bad as what it was ejected for, at the least.
-                    severity: if own { m.outlier_score.max(0.5) } else { 0.0 },
-                    outlier_score: m.outlier_score,
+                    // A low score does not end an ejection, so an ejected server counts as bad by 0.5 at the
+                    // least.
+                    severity: if by_own_score { record.outlier_score.max(0.5) } else { 0.0 },
+                    outlier_score: record.outlier_score,
                     has_answered: s.has_answered,
                     is_unreachable: s.is_unreachable,
-                    overdue_share: if key == 0 { silent } else { 0.0 },
+                    overdue_share: if key == 0 { overdue_share } else { 0.0 },
                     last_ended_at: s.last_ended_at,
                     last_ok_at: s.last_ok_at,
                 });
@@ -266,22 +277,22 @@
         all
     }
 
-    /// When an upstream last started, as its list says.
+    /// Returns when an upstream last started, as its list says.
     pub fn upstream_started_at(&self, id: ServerId) -> Option<Micros> {
         self.balancer.servers().get(id.0 as usize)?.entry.started_at
     }
 
-    /// How many upstreams were ever met; they are numbered from 0.
+    /// Returns how many upstreams have ever been listed; they are numbered from 0.
     pub fn upstream_count(&self) -> usize {
         self.balancer.servers().len()
     }
 
-    /// How many upstreams are listed as ready.
+    /// Returns how many upstreams are listed as ready.
     pub fn ready_count(&self) -> usize {
         self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready).count()
     }
 
-    /// Lets time pass, if it is due.
+    /// Decides what depends on time alone, if [`next_tick`](Decisions::next_tick) is due.
     pub fn tick(&mut self, now: Micros) -> Vec<Decision> {
         let mut due = false;
         while self.due.peek().is_some_and(|at| at.0 <= now.0) {
@@ -294,12 +305,12 @@
         }
     }
 
-    /// When the next tick is due.
+    /// Returns when the next call of [`tick`](Decisions::tick) is due; `None`: nothing depends on time alone.
     pub fn next_tick(&self) -> Option<Micros> {
         self.due.peek().map(|at| Micros(at.0))
     }
 
-    fn hosts(&mut self, now: Micros, form: ListForm, list: &HostList) -> Vec<Decision> {
+    fn handle_list(&mut self, now: Micros, form: ListForm, list: &HostList) -> Vec<Decision> {
         let entries: Vec<_> = list.hosts.iter().map(|(listing, _)| self.names.register(listing)).collect();
         self.handle(now, Event::List { form, entries: &entries })
     }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
 //! garnettally makes the decisions of a load balancer for services that call services.
 //!
-//! [`Balancer`] is one caller's balancer. It does no I/O and reads no clock: it is handed
-//! [`Event`]s with the time they happened and answers with [`Action`]s. [`facade`] puts it in blocking
-//! style for the real balancer.
+//! [`Balancer`] is the balancer of one caller. It does no I/O and reads no clock: the embedding program
+//! passes it [`Event`]s with the time of each and carries out the [`Action`]s that it returns. [`facade`]
+//! wraps it for the real balancer, whose network code needs one answer per call.
 //!
 //! ```
 //! use garnettally_decisions::*;
@@ -16,7 +16,7 @@
 //! let entries = [ServerEntry { server: ServerId(0), ..ServerEntry::default() }];
 //! balancer.handle(Micros(0), Event::List { form: ListForm::Full, entries: &entries }, &mut out);
 //!
-//! // A request is booked and sent ...
+//! // A request arrives; its cost is booked and it is sent.
 //! out.clear();
 //! let request = NewRequest {
 //!     id: RequestId(1), class: ClassId(0), tenant: None,
@@ -25,11 +25,11 @@
 //! balancer.handle(Micros(10), Event::Request(request), &mut out);
 //! assert!(out.iter().any(|a| matches!(a, Action::Send { server: ServerId(0), .. })));
 //!
-//! // ... and answered: the outcome finishes it.
+//! // The server answers, and the outcome finishes the request.
 //! out.clear();
 //! let outcome = Outcome {
 //!     id: RequestId(1), attempt: 0, code: Code::Ok,
-//!     latency: Micros(21_000), held_up: Micros(0), terminal: true, load: None,
+//!     latency: Micros(21_000), local_delay: Micros(0), is_final: true, load: None,
 //! };
 //! balancer.handle(Micros(21_010), Event::Outcome(outcome), &mut out);
 //! assert!(!out.iter().any(|a| matches!(a, Action::Fail { .. } | Action::Refuse { .. })));
--- a/crates/model/src/interface.rs
+++ b/crates/model/src/interface.rs
@@ -1,93 +1,94 @@
-//! The face of the decision module: plain types only, and no decision.
+//! The interface of the decision module: its settings, events and actions as plain types without any logic.
 
 use std::ops::{Add, AddAssign, Sub};
 
-/// A time or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds. Sums and differences saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub i64);
 
 impl Add for Micros {
     type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
     }
 }
 impl AddAssign for Micros {
-    fn add_assign(&mut self, o: Micros) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Micros) {
+        *self = *self + other;
     }
 }
 impl Sub for Micros {
     type Output = Micros;
-    fn sub(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_sub(o.0))
+    fn sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
     }
 }
 
-/// A request this instance was given; never reused within an instance's life.
+/// The id of a request. The embedding program chooses it and never reuses it while the instance runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
-/// A server, numbered from 0 in the order the embedding program first met it.
+/// The number of a server, from 0 in the order in which the embedding program first saw the servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
-/// A class: its place in [`Settings::classes`].
+/// The number of a class: its index in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassId(pub u32);
-/// A tenant: its place in [`Settings::tenant_quota`].
+/// The number of a tenant: its index in [`Settings::tenant_quota`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantId(pub u32);
 
-/// What a request concerns: a dense number of the embedding program's choosing.
+/// The key that a request carries, as a number that the embedding program chooses. A class can order its
+/// requests by key ([`Class::keep_order`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyId(pub u64);
 
-/// Which servers drop repeats of a keyed request.
+/// The group of servers that drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers drop repeats, wherever the first attempt went.
     All,
-    /// Those of one zone.
+    /// The servers in the zone of the first attempt drop repeats.
     Zone,
-    /// Those of one cell.
+    /// The servers in the cell of the first attempt drop repeats.
     Cell,
 }
 
-/// What a repeat of a request does.
+/// The effect that a repeat of a request has, which decides whether and where the request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat is harmless.
+    /// A repeat is harmless: the request may be retried anywhere.
     Safe,
-    /// Repeats are dropped by one group of servers for a time counted from the first send.
+    /// Repeats are dropped by one group of servers, for a time that counts from the first send.
     Keyed {
-        /// The group.
+        /// The servers that drop repeats.
         scope: DedupScope,
-        /// For how long they remember.
+        /// How long after the first send these servers still drop repeats.
         window: Micros,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// A class of requests.
+/// A class of requests, with its objectives and what its requests are worth.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within this earn full worth.
+    /// The latency objective: an answer within this time earns the full worth.
     pub aim: Micros,
-    /// The aim extends by this multiple of the request's own work.
+    /// The aim of a request is extended by this multiple of the work that the request is expected to be.
     pub aim_stretch: f64,
-    /// The total time a client waits, all its tries together.
+    /// The total time that a client waits for an answer, over all its tries.
     pub deadline: Micros,
-    /// What a repeat does.
+    /// The effect that a repeat of a request has.
     pub effect: Effect,
-    /// Worth of one request, or of one unit of its work.
+    /// The worth of one request, or of one unit of its work where [`Settings::worth_by_work`] is set.
     pub worth: f64,
-    /// Share of the worth paid past the aim.
+    /// The share of the worth, 0 to 1, that an answer earns after the aim and before the deadline.
     pub late_worth: f64,
-    /// The machine kinds it may go to; empty: all.
+    /// The machine kinds that may serve the class; if empty, all may.
     pub only_kinds: Vec<u32>,
-    /// The zones it may go to; empty: all.
+    /// The zones that may serve the class; if empty, all may.
     pub only_zones: Vec<u32>,
-    /// Its requests that carry one key run one at a time, in the order in which they were taken.
+    /// Whether requests that carry the same key run one at a time, in the order of their arrival.
     pub keep_order: bool,
 }
 
@@ -107,59 +108,64 @@
     }
 }
 
-/// The settings of one instance.
+/// The settings of one instance of the decision module.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Instances in this tier, this one included.
+    /// The number of instances in this tier, this one included.
     pub instances: u32,
-    /// This one's number among them, from 0.
+    /// The number of this instance among those of its tier, from 0.
     pub instance_index: u32,
-    /// The shortest time between two events.
+    /// The shortest time between two events: the resolution of the embedding program's clock.
     pub resolution: Micros,
-    /// An idle connection is closed after this.
+    /// The time after which an idle connection is closed.
     pub idle_close: Micros,
-    /// What an attempt that leaves the zone costs, as a share of a request's worth.
+    /// The cost of an attempt that leaves the zone, as a share of the worth of a request.
     pub crossing_price: f64,
     /// The zone of this instance.
     pub zone: u32,
-    /// The tier that gets this instance's sends; 0 for the one that clients reach.
+    /// The number of the tier that this instance sends to; 0 is the one that serves clients.
     pub tier: u32,
-    /// The classes.
+    /// The classes of requests; a [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
-    /// Requests per second within each tenant's share, over all instances.
+    /// The quota of each tenant in requests per second, over all instances; a [`TenantId`] is an index into
+    /// them.
     pub tenant_quota: Vec<f64>,
-    /// Worth of a request past its tenant's share, as a fraction.
+    /// The share of its worth, 0 to 1, that a request has beyond the quota of its tenant.
     pub over_share_worth: f64,
-    /// Worth counts per unit of work (else per request).
+    /// Whether worth counts per unit of work; otherwise it counts per request.
     pub worth_by_work: bool,
-    /// Discovery must be asked (else it pushes).
+    /// Whether discovery sends lists only to those that request a watch; otherwise it pushes them.
     pub watch_on_request: bool,
-    /// Not asking for this long counts as being told, where discovery must be asked.
+    /// Where a watch has to be requested, an instance that has not requested one for this long counts as
+    /// notified of all changes. Zero: the instance may request a watch at any time, since no others share
+    /// discovery with it.
     pub watch_request_within: Micros,
-    /// Without a watch, a list may be gone by for so long after discovery could have been asked; `None`: for as long as
-    /// discovery is asked in vain.
+    /// How long a list may be used without a watch, from the time when discovery could last have been
+    /// reached; `None`: for as long as requests for a watch fail.
     pub list_lease: Option<Micros>,
-    /// `Units` of a server tell its size.
+    /// Whether [`ServerEntry::units`] states the relative size of a server.
     pub weight_by_units: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub parallel_attempts: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Most attempts of one request.
+    /// The largest number of attempts of one request.
     pub max_attempts: u32,
-    /// Clients are told how long to hold off after a refusal.
+    /// Whether a refusal advises the client how long to wait before it tries again.
     pub retry_after: bool,
-    /// The longest such advice.
+    /// The longest time that a refusal advises the client to wait.
     pub max_retry_after: Micros,
-    /// A cold server starts at this share of its capacity or above.
+    /// The share of its capacity, 0 to 1, that a server has at the least right after its start.
     pub cold_share: f64,
-    /// And is warm after this time.
+    /// The time after its start in which a server reaches its full capacity.
     pub ramp_time: Micros,
-    /// The window over which too much work tips a cold server over.
+    /// The time window within which too much work overloads a cold server.
     pub cold_overload_window: Micros,
-    /// How long a key rests after an attempt that may run still ([`Class::keep_order`]).
+    /// How long the requests of a key are paused after an attempt that may still be running
+    /// ([`Class::keep_order`]).
     pub key_pause: Micros,
-    /// Only being listed as draining binds: a server that is called gone, or left out, may be sent to.
+    /// Whether only the state [`ListedState::Draining`] forbids calls to a server: one that a list reports as
+    /// removed, or leaves out, may still be called.
     pub removal_is_advisory: bool,
 }
 
@@ -195,35 +201,36 @@
     }
 }
 
-/// What discovery says of a server.
+/// The state of a server on discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes work.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The server finishes its current requests and accepts no others.
     Draining,
-    /// It has left.
+    /// The server has left the list.
     Removed,
 }
 
-/// One entry of discovery's news.
+/// One entry of a list from discovery, with names replaced by numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The number of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// The number of the server's zone; `u32::MAX` if the list names none.
     pub zone: u32,
-    /// Its machine kind.
+    /// The number of the server's machine kind; `u32::MAX` if the list names none.
     pub kind: u32,
-    /// Its cell.
+    /// The cell that the server belongs to, within its zone.
     pub cell: i64,
-    /// A number that spreads servers evenly and is the same at every instance: a hash of the name, say.
+    /// The position of the server on the ring from which instances choose their subsets. It has to spread
+    /// servers evenly and be the same at every instance, as a hash of the server's name is.
     pub ring_key: u64,
-    /// Its state.
+    /// The state that the list gives the server.
     pub state: ListedState,
-    /// Its size, as [`Settings::weight_by_units`] says.
+    /// The relative size of the server, where [`Settings::weight_by_units`] is set.
     pub units: f64,
-    /// When it last started; `None`: long ago.
+    /// When the server last started, by the wall clock; `None`: it started long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -242,247 +249,252 @@
     }
 }
 
-/// The form of discovery's news.
+/// The form of a list from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
-    /// Changed entries only.
+    /// The list holds changed entries only.
     Delta,
-    /// The whole list.
+    /// The list is complete: servers that it leaves out are removed.
     Full,
-    /// The whole list as last held; it can be old.
+    /// The list is a complete copy from an earlier time and may be out of date.
     Cached,
 }
 
-/// A request that a client or caller hands in.
+/// A request that has arrived from a client or caller.
 #[derive(Clone, Copy, Debug)]
 pub struct NewRequest {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// The tenant of the request, if it is known.
     pub tenant: Option<TenantId>,
-    /// When its client gives up.
+    /// When the client stops waiting for an answer.
     pub expires: Micros,
-    /// Expected work, where known.
+    /// The cost hint: the work that the client expects the request to be, if it gave one.
     pub hint: Option<Micros>,
-    /// Its client has tried before, where clients tell.
+    /// Whether the client says that it has tried this request before.
     pub repeat: bool,
-    /// What it concerns, as a dense number: requests that share it may have to keep their order.
+    /// The key of the request: requests with the same key may have to run in order ([`Class::keep_order`]).
     pub key: Option<KeyId>,
 }
 
-/// How an attempt ended.
+/// How an attempt ended. The names of the variants appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
-    /// Served.
+    /// The server answered the request.
     Ok,
-    /// The server gave an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Sent back unseen; never ran.
+    /// The server declined the request without looking at it; the request did not run.
     Full,
-    /// No answer in time; may run still.
+    /// No answer came in time; the request may still be running.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be made; the request did not run.
     ConnectFailed,
-    /// The connection dropped; may have run.
+    /// The connection was lost before the answer; the request may have run.
     Reset,
-    /// Called off; may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
-    /// The server says that the request itself is at fault, and that is its answer. It tells nothing of the
-    /// server, and another one would say the same.
+    /// The server answered that the request itself is at fault. This is the final answer: it says nothing
+    /// about the server, and another server would answer the same.
     Rejected,
 }
 
-/// A server's load report; absent values are not known.
+/// The load that a server reports with an answer; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// The number of requests that the server has in progress.
     pub in_flight: Option<f64>,
 }
 
-/// The end of one attempt.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// Of this request.
+    /// The request this attempt belongs to.
     pub id: RequestId,
-    /// Its number among the request's sends, from 0.
+    /// The number of the attempt among those of its request, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub code: Code,
-    /// Time since the send.
+    /// The time from the send to the end of the attempt.
     pub latency: Micros,
-    /// So much of that may be this process's own doing: it was held up, and did not look at its sockets.
+    /// The part of the latency that this process may have caused itself, while it was busy and did not read
+    /// from its sockets.
     pub local_delay: Micros,
-    /// The request is finished.
+    /// Whether the request has its final answer, so that nothing more is sent for it.
     pub is_final: bool,
-    /// The server's report, if one came along.
+    /// The load that the server reported with its answer, if it did.
     pub load: Option<LoadReport>,
 }
 
-/// What other instances have found out about a server, as far as this one is to go by it.
+/// The merged judgement of other instances about a server, which this instance is to act on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerVerdict {
-    /// The server.
+    /// The server that is judged.
     pub server: ServerId,
-    /// For this class alone; `None`: as a whole.
+    /// The class for which the server is judged; `None`: the verdict is on the server as a whole.
     pub class: Option<ClassId>,
-    /// How bad it is, 0 to 1; 0: nobody says so any more.
+    /// How bad the server is, 0 to 1; 0 withdraws the verdict, since no instance reports a fault any more.
     pub severity: f64,
-    /// When it was found, at the earliest.
+    /// The earliest time at which the fault may have been found.
     pub found_at: Micros,
-    /// It is this instance that tries whether the server is well again.
+    /// Whether this instance sends the probe attempts that show when the server has recovered.
     pub probes_here: bool,
 }
 
-/// What an instance has found out by its own calls.
+/// What an instance has observed of its servers by its own calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalObservations {
-    /// How many servers it sends to: all that are ready, or its subset of them.
+    /// The number of servers that the instance sends to: all ready ones, or its subset of them.
     pub servers_in_use: usize,
-    /// Of those that it has had doubts about.
+    /// The servers that have had bad outcomes, or have calls without an answer.
     pub servers: Vec<ServerObservation>,
 }
 
-/// What an instance has found out about a server by its own calls.
+/// What an instance has observed of one server by its own calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerObservation {
-    /// The server.
+    /// The server that was observed.
     pub server: ServerId,
-    /// When it last started.
+    /// When the server last started, as its list says.
     pub started_at: Option<Micros>,
-    /// For this class alone; `None`: as a whole.
+    /// The class that the observation is limited to; `None`: it covers the server as a whole.
     pub class: Option<ClassId>,
-    /// How bad it is, 0 to 1; 0: it is not ejected, or not by what was found here.
+    /// How bad the server is, 0 to 1; 0: it is not ejected, or not because of this instance's own calls.
     pub severity: f64,
-    /// The outlier score, whether or not it is ejected for it.
+    /// The outlier score of the server, whether or not the server is ejected.
     pub outlier_score: f64,
-    /// It has answered this instance in its present life: the way there has worked.
+    /// Whether the server has answered this instance since the server's last start, so that the network path
+    /// has worked.
     pub has_answered: bool,
-    /// The last call got no connection.
+    /// Whether the last call got no connection.
     pub is_unreachable: bool,
-    /// For how long a call has been out there with nothing answered since, as a part of the time after which this
-    /// instance speaks against it by itself; 0: none is.
+    /// The age of the oldest call since which the server has answered nothing, as a share of the time after
+    /// which this instance counts the call as overdue; 0: there is no such call.
     pub overdue_share: f64,
-    /// When a call last ended there, or was overdue.
+    /// When a call to the server last ended or became overdue.
     pub last_ended_at: Micros,
-    /// When it last answered well.
+    /// When the server last gave a good answer in time.
     pub last_ok_at: Micros,
 }
 
-/// Whatever discovery has to tell counts as told so long after it had it and could be reached, on sockets, whether or not it was
-/// heard (the operators' standing test).
+/// The time after which an instance counts as notified of a change, whether or not it received the change:
+/// discovery has had the change and could be reached for this long. It holds on real sockets (the operators'
+/// standing test).
 pub const NOTIFIED_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
 
-/// What was seen of a call to discovery that failed, or of a watch that ended.
+/// What was observed of a call to discovery that failed, or of a watch that ended. The names of the variants
+/// appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// This process could not make a socket for it.
+    /// This process could not create a socket for the call.
     NoSocket,
-    /// Its connection was refused, or did not come up in time.
+    /// The connection was refused, or was not established in time.
     NoConnection,
-    /// Its connection ended or was reset before a byte of an answer.
+    /// The connection was closed or reset before the first byte of an answer.
     ClosedBeforeAnswer,
-    /// It was sent, and no byte of an answer came in time.
+    /// The call was sent, and no byte of an answer came in time.
     NoAnswer,
-    /// 503.
+    /// Discovery answered with status 503: it is overloaded or down.
     Busy,
-    /// An answer with another status, or one that is no HTTP.
+    /// Discovery answered with another status, or the answer was not HTTP.
     OtherStatus,
-    /// An answer was begun, and no whole list came.
+    /// An answer began and ended without a complete list.
     IncompleteAnswer,
-    /// A list came that can't be read, or is older than the one held.
+    /// The list in the answer could not be read, or was older than the one in use.
     Unreadable,
-    /// A watch that was open carried nothing any more.
+    /// An open watch delivered no data for too long.
     WatchSilent,
-    /// A watch that was open ended or was reset in the middle of a line.
+    /// An open watch was closed or reset in the middle of a line.
     WatchCut,
-    /// A watch that was open was reset between two lines, or this process ended it.
+    /// An open watch was reset between two lines, or closed by this process.
     WatchBroken,
-    /// The registry ended a watch that was open, between two lines.
+    /// The registry closed an open watch between two lines.
     WatchEnded,
 }
 
-/// What an instance is told.
+/// An event that the embedding program reports to an instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// News from discovery.
+    /// A list has come from discovery.
     List {
-        /// Its form.
+        /// Whether the list is complete, a delta or a cached copy.
         form: ListForm,
-        /// Its entries.
+        /// The entries of the list.
         entries: &'a [ServerEntry],
     },
-    /// The watch on discovery has ended, or could not be had.
+    /// The watch on discovery has ended, or the request for one has failed.
     WatchFailed {
-        /// Up to then, what it had to tell has come.
+        /// The time up to which all changes have arrived.
         complete_until: Micros,
-        /// How it failed.
+        /// How the watch or the request for it failed.
         failure: CallFailure,
     },
-    /// The head of discovery's answer has come; the list is still to come.
+    /// The head of discovery's answer has arrived; the list is still to come.
     DiscoveryAnswerStarted,
-    /// Discovery is at another address from now on; the watch on the old one has ended.
+    /// Discovery has moved to another address, and the watch at the old address has ended.
     DiscoveryMoved,
-    /// The clock that lists date starts by is so far ahead of this instance's own, which never steps; below 0: behind.
+    /// The offset between the wall clock, by which lists date the starts of servers, and this instance's own
+    /// clock, which never steps, has been measured.
     WallClock {
-        /// By so much.
+        /// How far the wall clock is ahead; a negative value means that it is behind.
         ahead: Micros,
     },
-    /// A request came in.
+    /// A request has arrived.
     Request(NewRequest),
-    /// An attempt ended.
+    /// An attempt has ended.
     Outcome(Outcome),
-    /// The client went away.
+    /// The client of a request has disconnected.
     ClientLeft(RequestId),
-    /// Other instances speak of a server.
+    /// Other instances have reached a verdict on a server, or withdrawn it.
     PeerVerdict(PeerVerdict),
-    /// A timer is due.
+    /// A timer with this token is due.
     Timer(u64),
 }
 
-/// What an instance does.
+/// An action that the embedding program has to carry out for an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
-        /// Of this request.
+        /// The request to send.
         id: RequestId,
-        /// To this server.
+        /// The server to send it to.
         server: ServerId,
-        /// Give it this long.
+        /// The time-out of the attempt.
         timeout: Micros,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
-        /// Of this request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// This one.
+        /// The number of the attempt among those of its request, from 0.
         attempt: u32,
     },
-    /// Final answer: no, and a repeat is harmless.
+    /// Answer the client finally that the request is refused; a repeat is harmless.
     Refuse {
-        /// To this request.
+        /// The request to answer.
         id: RequestId,
-        /// Advice to hold off; zero: none.
+        /// How long the client is advised to wait before it tries again; zero: no advice is given.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing promised.
+    /// Answer the client finally that the request has failed; a repeat may not be harmless.
     Fail {
-        /// To this request.
+        /// The request to answer.
         id: RequestId,
     },
-    /// Wake me.
+    /// Report [`Event::Timer`] at a given time.
     Timer {
-        /// At this time.
+        /// The time at which the timer is due.
         at: Micros,
-        /// With this token.
+        /// The token that the event has to carry.
         token: u64,
     },
-    /// Subscribe to discovery.
+    /// Request a watch from discovery.
     Watch,
-    /// A line for the staff.
+    /// Write this line to the log.
     Log(String),
 }
--- a/crates/model/src/listing.rs
+++ b/crates/model/src/listing.rs
@@ -1,34 +1,34 @@
-//! What a source of nodes tells: the seam between registries and everything else.
+//! The lists that a source of nodes delivers: the interface between registries and everything else.
 
 use crate::interface::{ListedState, Micros};
 use std::net::SocketAddr;
 
-/// One entry of a host list.
+/// One host of a host list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// The server's name.
+    /// The name of the host, which identifies it across lists.
     pub name: String,
-    /// Its zone.
+    /// The zone of the host, if the list names one.
     pub zone: Option<String>,
-    /// Its machine kind.
+    /// The machine kind of the host, if the list names one.
     pub kind: Option<String>,
-    /// Its cell.
+    /// The cell that the host belongs to, within its zone.
     pub cell: i64,
-    /// Its state.
+    /// The state that the list gives the host.
     pub state: ListedState,
-    /// Its size.
+    /// The relative size of the host.
     pub units: f64,
-    /// When it last started; `None`: long ago.
+    /// When the host last started, by the wall clock; `None`: it started long ago.
     pub started_at: Option<Micros>,
 }
 
-/// A host list, whole or in part.
+/// A host list, complete or as a delta.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostList {
-    /// Its version.
+    /// The version of the list. It rises with each change, until the registry restarts and counts anew.
     pub seq: u64,
-    /// The whole list, or else what changed.
+    /// Whether the list is complete; otherwise it holds changed entries only.
     pub whole: bool,
-    /// Each entry with the address to dial.
+    /// The entries, each with the address to connect to, if it is known.
     pub hosts: Vec<(Listing, Option<SocketAddr>)>,
 }
