--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -57,56 +57,58 @@
     /// Sends the request, makes it wait, or answers it finally. A request that has not been sent yet waits,
     /// even while no server may take it: a list may bring one.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let retry = self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty());
+        let retry = self.requests.get(&id).is_some_and(|request| !request.attempts.is_empty());
         match self.pick(id, retry) {
             PickResult::Server(server) => return self.send(id, server, actions),
             PickResult::NoServer if retry => return self.refuse_or_fail(id, actions),
-            _ if self.requests.get(&id).is_none_or(|r| r.expires <= self.now) => {
+            _ if self.requests.get(&id).is_none_or(|request| request.expires <= self.now) => {
                 return self.refuse_or_fail(id, actions)
             }
             _ => self.waiting.push(id),
         }
-        if let Some(r) = self.requests.get(&id) {
-            actions.push(Action::Timer { at: r.expires, token: PERIOD_TIMER + 1 });
+        if let Some(request) = self.requests.get(&id) {
+            actions.push(Action::Timer { at: request.expires, token: PERIOD_TIMER + 1 });
         }
     }
 
     /// Returns the time at which a request is given up. Where an answer after the aim is worth nothing, the
     /// request is refused just before its aim, so that the client knows and the servers below drop it.
     /// Drawback: the client may repeat it. Instances of lower tiers wait for as long as their caller does.
-    pub(super) fn give_up_at(&self, r: &Request) -> Micros {
-        match self.settings.tier > 0 || self.settings.classes[r.class].late_worth > 0.0 {
-            true => r.expires,
-            false => self.aim_time(r) - Micros(2 * self.settings.resolution.0),
+    pub(super) fn give_up_at(&self, request: &Request) -> Micros {
+        match self.settings.tier > 0 || self.settings.classes[request.class].late_worth > 0.0 {
+            true => request.expires,
+            false => self.aim_time(request) - Micros(2 * self.settings.resolution.0),
         }
     }
 
     /// Returns what a request is worth if it is sent now and takes this multiple of its expected time. Late
     /// answers earn less, and answers after the deadline nothing.
-    pub(super) fn value(&self, id: RequestId, r: &Request, time_factor: f64) -> f64 {
-        let class = &self.settings.classes[r.class];
+    pub(super) fn value(&self, id: RequestId, request: &Request, time_factor: f64) -> f64 {
+        let class = &self.settings.classes[request.class];
         // The requests before it in its key's queue run first, one at a time; the first of them is already on
         // its way.
-        let position = r.key.and_then(|k| self.key_queues.get(&k)?.requests.iter().position(|&q| q == id));
+        let position =
+            request.key.and_then(|k| self.key_queues.get(&k)?.requests.iter().position(|&q| q == id));
         let expected =
-            time_factor * self.time_estimate.served_time(r.price) * position.unwrap_or(0).max(1) as f64;
+            time_factor * self.time_estimate.served_time(request.price) * position.unwrap_or(0).max(1) as f64;
         let expected = Micros(expected as i64);
-        let share = if r.over_quota { self.settings.over_share_worth } else { 1.0 };
-        let per_work = if self.settings.worth_by_work { 1.0 } else { self.stats.cr / r.price.max(1.0) };
+        let share = if request.over_quota { self.settings.over_share_worth } else { 1.0 };
+        let per_work = if self.settings.worth_by_work { 1.0 } else { self.stats.cr / request.price.max(1.0) };
         let time_share = match self.now + expected {
             // Below the first tier, the caller has already spent work on the request, so it is given up only
             // at its deadline.
-            t if t <= self.aim_time(r) || self.settings.tier > 0 => 1.0,
-            t if t <= r.expires => class.late_worth,
+            t if t <= self.aim_time(request) || self.settings.tier > 0 => 1.0,
+            t if t <= request.expires => class.late_worth,
             _ => 0.0,
         };
         class.worth * share * per_work * time_share
     }
 
     /// Returns the time until which an answer earns the full worth.
-    pub(super) fn aim_time(&self, r: &Request) -> Micros {
-        let class = &self.settings.classes[r.class];
-        (r.arrived_at + class.aim + Micros((class.aim_stretch * r.price) as i64)).min(r.expires)
+    pub(super) fn aim_time(&self, request: &Request) -> Micros {
+        let class = &self.settings.classes[request.class];
+        (request.arrived_at + class.aim + Micros((class.aim_stretch * request.price) as i64))
+            .min(request.expires)
     }
 
     /// Sends waiting requests while the concurrency limit has room: those with the most worth per work first,
@@ -118,11 +120,13 @@
             match self
                 .requests
                 .get(&id)
-                .map(|r| (r, self.value(id, r, IN_TIME_FACTOR)))
-                .filter(|(r, _)| !r.is_finished)
+                .map(|request| (request, self.value(id, request, IN_TIME_FACTOR)))
+                .filter(|(request, _)| !request.is_finished)
             {
-                Some((r, v)) if r.expires > self.now && v > 0.0 && !self.has_waited_too_long(r) => {
-                    waiting.push((v, self.aim_time(r), id))
+                Some((request, value))
+                    if request.expires > self.now && value > 0.0 && !self.has_waited_too_long(request) =>
+                {
+                    waiting.push((value, self.aim_time(request), id))
                 }
                 Some(_) => self.refuse_or_fail(id, actions),
                 None => {}
@@ -133,7 +137,9 @@
             match self.pick(id, false) {
                 PickResult::Server(server) => self.send(id, server, actions),
                 // The request has been sent before, and no further attempt of it is allowed.
-                PickResult::NoServer if self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty()) => {
+                PickResult::NoServer
+                    if self.requests.get(&id).is_some_and(|request| !request.attempts.is_empty()) =>
+                {
                     self.refuse_or_fail(id, actions);
                 }
                 _ => self.waiting.push(id),
@@ -144,21 +150,21 @@
     /// Returns whether a request has waited here for so long that it is refused: its client has few
     /// connections, and a request that has used up its aim in a queue is served late. Instances of lower
     /// tiers wait for as long as their caller does.
-    pub(super) fn has_waited_too_long(&self, r: &Request) -> bool {
-        let aim = (self.aim_time(r) - r.arrived_at).0 as f64;
-        self.settings.tier == 0 && (self.now - r.arrived_at).0 as f64 >= MAX_WAIT_AIM_SHARE * aim
+    pub(super) fn has_waited_too_long(&self, request: &Request) -> bool {
+        let aim = (self.aim_time(request) - request.arrived_at).0 as f64;
+        self.settings.tier == 0 && (self.now - request.arrived_at).0 as f64 >= MAX_WAIT_AIM_SHARE * aim
     }
 
     /// Rules 1 and 2: gives the request its single final answer. A refusal states that a repeat is harmless;
     /// where that is not certain, the request fails instead.
     pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.is_finished) else { return };
-        let harmless = match self.settings.classes[r.class].effect {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.is_finished) else { return };
+        let harmless = match self.settings.classes[request.class].effect {
             Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
-            _ => r.attempts.iter().all(|a| !a.may_have_run),
+            _ => request.attempts.iter().all(|a| !a.may_have_run),
         };
         // A request that is answered only after its aim gains nothing by a quick repeat.
-        let wait = if self.now >= r.expires { self.settings.max_retry_after } else { PERIOD };
+        let wait = if self.now >= request.expires { self.settings.max_retry_after } else { PERIOD };
         let wait =
             if self.settings.retry_after { wait.min(self.settings.max_retry_after) } else { Micros(0) };
         actions.push(if harmless { Action::Refuse { id, retry_after: wait } } else { Action::Fail { id } });
@@ -168,12 +174,14 @@
     /// Ends a request that has its final answer, or whose client has disconnected: no further attempt is
     /// sent, and those in flight are cancelled where that is allowed.
     pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        r.is_finished = true;
-        for (n, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && self.settings.may_cancel) {
-            actions.push(Action::Cancel { id, attempt: n as u32 });
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_finished = true;
+        for (number, _) in
+            request.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && self.settings.may_cancel)
+        {
+            actions.push(Action::Cancel { id, attempt: number as u32 });
         }
-        if r.attempts.iter().all(|a| !a.in_flight) {
+        if request.attempts.iter().all(|a| !a.in_flight) {
             self.remove_request(id);
         }
     }
@@ -181,7 +189,7 @@
     /// Removes a finished request that has no attempt in flight, so that the next request with its key may be
     /// sent.
     pub(super) fn remove_request(&mut self, id: RequestId) {
-        let key = self.requests.remove(&id).and_then(|r| r.key);
+        let key = self.requests.remove(&id).and_then(|request| request.key);
         if let Some(queue) = key.and_then(|k| self.key_queues.get_mut(&k)) {
             queue.requests.retain(|q| *q != id);
         }
--- a/crates/decisions/src/balancer/concurrency_limit.rs
+++ b/crates/decisions/src/balancer/concurrency_limit.rs
@@ -38,13 +38,13 @@
 impl Balancer {
     /// Adds the square of an attempt's latency over its aim to the congestion of the pool. Attempts that
     /// ended without an answer, or were declined, are signs of congestion as well.
-    pub(super) fn record_congestion(&mut self, server: ServerId, class: usize, o: &Outcome) {
-        let pool = &mut self.pools[self.servers[server.0 as usize].pool];
+    pub(super) fn record_congestion(&mut self, server_id: ServerId, class: usize, outcome: &Outcome) {
+        let pool = &mut self.pools[self.servers[server_id.0 as usize].pool];
         // Lateness counts by what it costs: less where a late answer still earns something.
         let class = &self.settings.classes[class];
-        let square =
-            (o.latency.0 as f64 / class.aim.0.max(1) as f64).powi(2) * (1.0 - class.late_worth).max(0.0);
-        let square = match o.code {
+        let square = (outcome.latency.0 as f64 / class.aim.0.max(1) as f64).powi(2)
+            * (1.0 - class.late_worth).max(0.0);
+        let square = match outcome.code {
             Code::Ok => square,
             Code::Timeout | Code::Cancelled if square > pool.congestion => {
                 square.min(MAX_UNANSWERED_CONGESTION)
@@ -61,19 +61,19 @@
     /// ejected ones not at all. Without this, callers that lost half of the servers would send each of the
     /// others twice what it was found to bear.
     pub(super) fn scale_limit(&mut self) {
-        let before: Vec<f64> = self.pools.iter_mut().map(|p| std::mem::take(&mut p.capacity)).collect();
-        for s in self.ring.iter().map(|&(_, i)| &self.servers[i as usize]) {
-            if s.health.first().is_none_or(|m| m.ejected_until.is_none()) {
-                self.pools[s.pool].capacity += s.started_at.map_or(1.0, |t| self.warm_share(t));
+        let before: Vec<f64> = self.pools.iter_mut().map(|pool| std::mem::take(&mut pool.capacity)).collect();
+        for server in self.ring.iter().map(|&(_, i)| &self.servers[i as usize]) {
+            if server.health.first().is_none_or(|record| record.ejected_until.is_none()) {
+                self.pools[server.pool].capacity += server.started_at.map_or(1.0, |t| self.warm_share(t));
             }
         }
-        for (p, before) in self.pools.iter_mut().zip(before) {
-            if p.capacity == 0.0 {
+        for (pool, before) in self.pools.iter_mut().zip(before) {
+            if pool.capacity == 0.0 {
                 // No server is left to send to. The old value stays, so that servers that come back do not
                 // count as growth.
-                p.capacity = before;
+                pool.capacity = before;
             } else if before > 0.0 {
-                p.limit *= p.capacity / before;
+                pool.limit *= pool.capacity / before;
             }
         }
     }
@@ -84,23 +84,24 @@
     /// down even if calls have the time to wait in it. A delay that costs the callers nothing is not
     /// congestion, however fast the servers are: any fully loaded machine delays calls by milliseconds.
     pub(super) fn adapt_limit(&mut self) {
-        for p in &mut self.pools {
-            let delay_costs = p.mean_delay >= FREE_DELAY_AIM_SHARE;
-            let stretch = p
+        for pool in &mut self.pools {
+            let delay_costs = pool.mean_delay >= FREE_DELAY_AIM_SHARE;
+            let stretch = pool
                 .least_log_time
                 .filter(|_| delay_costs)
-                .map_or(0.0, |least| (p.mean_log_time - least) / MAX_STRETCH.ln());
-            p.least_log_time =
-                p.least_log_time.map(|least| least + STRETCH_DRIFT_PER_PERIOD * (p.mean_log_time - least));
-            let congestion = p.congestion.max(CONGESTED * stretch);
+                .map_or(0.0, |least| (pool.mean_log_time - least) / MAX_STRETCH.ln());
+            pool.least_log_time = pool
+                .least_log_time
+                .map(|least| least + STRETCH_DRIFT_PER_PERIOD * (pool.mean_log_time - least));
+            let congestion = pool.congestion.max(CONGESTED * stretch);
             if congestion > CONGESTED {
                 let least =
-                    MIN_LIMIT_PER_SERVER * p.ready_servers / f64::from(self.settings.instances.max(1));
+                    MIN_LIMIT_PER_SERVER * pool.ready_servers / f64::from(self.settings.instances.max(1));
                 let down = (LIMIT_STEP_DOWN * congestion / CONGESTED).min(MAX_LIMIT_STEP_DOWN);
-                p.limit = (p.limit * (1.0 - down)).max(least);
-            } else if p.calls_in_flight as f64 + self.limit_dither >= LIMIT_BINDS_FROM * p.limit {
+                pool.limit = (pool.limit * (1.0 - down)).max(least);
+            } else if pool.calls_in_flight as f64 + self.limit_dither >= LIMIT_BINDS_FROM * pool.limit {
                 let spare = 1.0 - congestion / CONGESTED;
-                p.limit = (p.limit * (1.0 + LIMIT_STEP_UP * spare)).min(1e6);
+                pool.limit = (pool.limit * (1.0 + LIMIT_STEP_UP * spare)).min(1e6);
             }
         }
     }
--- a/crates/decisions/src/balancer/list_freshness.rs
+++ b/crates/decisions/src/balancer/list_freshness.rs
@@ -20,8 +20,8 @@
     /// Returns whether a server is unlikely to leave soon. While no watch delivers changes, a server that
     /// accepted a call lately is, and one that declined a call is not. Drawback: fewer servers are used for
     /// as long as discovery is out of reach.
-    pub(super) fn is_likely_to_stay(&self, s: &Server) -> bool {
-        self.is_watched() || self.now - s.confirmed_at < CONFIRMATION_LASTS
+    pub(super) fn is_likely_to_stay(&self, server: &Server) -> bool {
+        self.is_watched() || self.now - server.confirmed_at < CONFIRMATION_LASTS
     }
 
     /// Returns whether discovery delivers changes as they are made: it pushes lists, or a watch is open.
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -30,29 +30,30 @@
     /// takes the next servers until every class has enough healthy ones.
     pub(super) fn choose_subset(&mut self) {
         self.subset_is_stale = false;
-        let (n, want) = (self.ring.len(), self.subset_size());
-        let start = (u64::from(self.settings.instance_index) * n as u64
+        let (ring_size, wanted_size) = (self.ring.len(), self.subset_size());
+        let start = (u64::from(self.settings.instance_index) * ring_size as u64
             / u64::from(self.settings.instances.max(1))) as usize;
-        let mut have = vec![0; self.settings.classes.len()];
+        let mut healthy = vec![0; self.settings.classes.len()];
         self.subset.clear();
-        for at in 0..n {
-            let i = self.ring[(start + at) % n].1;
-            let s = &self.servers[i as usize];
-            if s.is_doubted && self.believes_removals {
+        for offset in 0..ring_size {
+            let index = self.ring[(start + offset) % ring_size].1;
+            let server = &self.servers[index as usize];
+            if server.is_doubted && self.believes_removals {
                 continue;
             }
-            let mut wanted = false;
-            for (class, have) in have.iter_mut().enumerate() {
-                if *have < want && is_allowed(&self.settings.classes[class], &s.entry) {
-                    wanted = true;
-                    let keys = [s.health.first(), s.health.get(class + 1)];
-                    *have += usize::from(keys.into_iter().flatten().all(|m| m.ejected_until.is_none()));
+            let mut is_wanted = false;
+            for (class, count) in healthy.iter_mut().enumerate() {
+                if *count < wanted_size && is_allowed(&self.settings.classes[class], &server.entry) {
+                    is_wanted = true;
+                    let keys = [server.health.first(), server.health.get(class + 1)];
+                    *count +=
+                        usize::from(keys.into_iter().flatten().all(|record| record.ejected_until.is_none()));
                 }
             }
-            if wanted {
-                self.subset.push(i);
+            if is_wanted {
+                self.subset.push(index);
             }
-            if have.iter().all(|&h| h >= want) {
+            if healthy.iter().all(|&count| count >= wanted_size) {
                 break;
             }
         }
@@ -60,81 +61,86 @@
 
     /// Returns how many servers this instance sends to at present.
     pub(crate) fn servers_in_use(&self) -> usize {
-        let is_ready = |&&i: &&u32| self.servers[i as usize].entry.state == ListedState::Ready;
+        let is_ready = |&&index: &&u32| self.servers[index as usize].entry.state == ListedState::Ready;
         self.subset.iter().filter(is_ready).count()
     }
 
     /// Applies a list from discovery, complete or as a delta, and renews what depends on the set of servers.
     pub(super) fn apply_list(&mut self, form: ListForm, entries: &[ServerEntry]) {
-        if let Some(s) = self.subscription.as_mut().filter(|_| form != ListForm::Cached) {
-            s.heard();
+        if let Some(subscription) = self.subscription.as_mut().filter(|_| form != ListForm::Cached) {
+            subscription.heard();
         }
-        let server_count =
-            entries.iter().map(|e| e.server.0 as usize + 1).max().unwrap_or(0).max(self.servers.len());
+        let server_count = entries
+            .iter()
+            .map(|entry| entry.server.0 as usize + 1)
+            .max()
+            .unwrap_or(0)
+            .max(self.servers.len());
         let unknown = ServerEntry { state: ListedState::Removed, ..Default::default() };
         self.servers.resize_with(server_count, || Server { entry: unknown, ..Default::default() });
         if form != ListForm::Delta {
             let mut listed = vec![false; server_count];
-            entries.iter().for_each(|e| listed[e.server.0 as usize] = true);
-            for (s, _) in self.servers.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
-                s.unlist(self.settings.removal_is_advisory);
+            entries.iter().for_each(|entry| listed[entry.server.0 as usize] = true);
+            for (server, _) in self.servers.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
+                server.unlist(self.settings.removal_is_advisory);
             }
         }
-        for e in entries {
-            let s = &mut self.servers[e.server.0 as usize];
-            if e.state == ListedState::Removed {
-                s.unlist(self.settings.removal_is_advisory);
+        for entry in entries {
+            let server = &mut self.servers[entry.server.0 as usize];
+            if entry.state == ListedState::Removed {
+                server.unlist(self.settings.removal_is_advisory);
                 continue;
             }
             // A restart shows in the server's start time, not in its return to the list. Any other start time
             // counts as a later one, even a smaller one: the server's clock may have been stepped back.
-            let restarted = e.started_at.is_some() && e.started_at != s.entry.started_at;
-            if restarted || s.time_ratio == 0.0 {
+            let restarted = entry.started_at.is_some() && entry.started_at != server.entry.started_at;
+            if restarted || server.time_ratio == 0.0 {
                 // The server is new or has restarted, so what was learned about it before no longer holds.
-                let old = std::mem::take(s);
-                (s.calls, s.is_busy, s.pool) = (old.calls, old.is_busy, old.pool);
-                s.board.first_slot = self.now.0 / SLOT.0;
-                (s.time_ratio, s.last_ok_at, s.last_ended_at) = (1.0, self.now, self.now);
-                s.random_factor = -self.rng.f64().max(1e-9).ln();
-                s.cold_bucket = -self.rng.f64() * self.stats.cr / self.stats.gain;
-                s.started_at =
-                    e.started_at.map(|dated| start_by_own_clock(dated, self.wall_clock_ahead, self.now));
-                let warm_at = s.started_at.map_or(self.cold_until, |t| t + self.settings.ramp_time);
+                let old = std::mem::take(server);
+                (server.calls, server.is_busy, server.pool) = (old.calls, old.is_busy, old.pool);
+                server.board.first_slot = self.now.0 / SLOT.0;
+                (server.time_ratio, server.last_ok_at, server.last_ended_at) = (1.0, self.now, self.now);
+                server.random_factor = -self.rng.f64().max(1e-9).ln();
+                server.cold_bucket = -self.rng.f64() * self.stats.cr / self.stats.gain;
+                server.started_at =
+                    entry.started_at.map(|dated| start_by_own_clock(dated, self.wall_clock_ahead, self.now));
+                let warm_at = server.started_at.map_or(self.cold_until, |t| t + self.settings.ramp_time);
                 self.cold_until = self.cold_until.max(warm_at);
             }
-            s.entry = ServerEntry { started_at: e.started_at.or(s.entry.started_at), ..*e };
-            (s.is_doubted, s.confirmed_at) = (false, self.now);
+            server.entry = ServerEntry { started_at: entry.started_at.or(server.entry.started_at), ..*entry };
+            (server.is_doubted, server.confirmed_at) = (false, self.now);
         }
         self.subset_is_stale = true;
         self.ring.clear();
-        let ready = self.servers.iter().filter(|s| s.entry.state == ListedState::Ready);
-        self.ring.extend(ready.map(|s| (s.entry.ring_key, s.entry.server.0)));
+        let ready = self.servers.iter().filter(|server| server.entry.state == ListedState::Ready);
+        self.ring.extend(ready.map(|server| (server.entry.ring_key, server.entry.server.0)));
         self.ring.sort_unstable();
         // A list that removes a few servers is believed. One that removes many may be wrong, and the others
         // could not bear the load, so outlier ejection has to find out which servers are gone. Drawback: each
         // caller calls each dead server once.
-        let doubted = self.servers.iter().filter(|s| s.is_doubted).count();
+        let doubted = self.servers.iter().filter(|server| server.is_doubted).count();
         self.believes_removals = doubted * MAX_DOUBTED_ONE_IN <= self.ring.len();
-        self.pools.iter_mut().for_each(|p| (p.ready_servers, p.mean_units) = (0.0, 0.0));
-        for s in self.servers.iter_mut().filter(|s| s.entry.state == ListedState::Ready) {
+        self.pools.iter_mut().for_each(|pool| (pool.ready_servers, pool.mean_units) = (0.0, 0.0));
+        for server in self.servers.iter_mut().filter(|server| server.entry.state == ListedState::Ready) {
             // A server that comes back as another kind stays in the pool in which its calls in flight are
             // counted.
-            let known = self.pools.iter().position(|p| p.kind == s.entry.kind);
-            if s.calls.is_empty() {
-                s.pool = known.unwrap_or(self.pools.len());
+            let known = self.pools.iter().position(|pool| pool.kind == server.entry.kind);
+            if server.calls.is_empty() {
+                server.pool = known.unwrap_or(self.pools.len());
             }
-            if s.pool == self.pools.len() {
-                self.pools.push(Pool { kind: s.entry.kind, ..Pool::default() });
+            if server.pool == self.pools.len() {
+                self.pools.push(Pool { kind: server.entry.kind, ..Pool::default() });
             }
-            self.pools[s.pool].ready_servers += 1.0;
-            self.pools[s.pool].mean_units += s.entry.units;
+            self.pools[server.pool].ready_servers += 1.0;
+            self.pools[server.pool].mean_units += server.entry.units;
         }
-        let units = self.pools.iter().map(|p| p.mean_units).sum::<f64>() / self.ring.len().max(1) as f64;
-        for p in self.pools.iter_mut().filter(|p| p.ready_servers > 0.0) {
-            p.mean_units /= p.ready_servers;
-            if p.limit == 0.0 {
-                p.time_ratio = if self.settings.weight_by_units && p.mean_units > 0.0 {
-                    units / p.mean_units
+        let units =
+            self.pools.iter().map(|pool| pool.mean_units).sum::<f64>() / self.ring.len().max(1) as f64;
+        for pool in self.pools.iter_mut().filter(|pool| pool.ready_servers > 0.0) {
+            pool.mean_units /= pool.ready_servers;
+            if pool.limit == 0.0 {
+                pool.time_ratio = if self.settings.weight_by_units && pool.mean_units > 0.0 {
+                    units / pool.mean_units
                 } else {
                     1.0
                 };
@@ -142,8 +148,8 @@
                 // top.
                 let share = FIRST_LIMIT_PER_SERVER * self.ring.len() as f64
                     / f64::from(self.settings.instances.max(1));
-                p.limit =
-                    (share + LIMIT_CHANCE_ROOTS * share.sqrt()) * p.ready_servers / self.ring.len() as f64;
+                pool.limit =
+                    (share + LIMIT_CHANCE_ROOTS * share.sqrt()) * pool.ready_servers / self.ring.len() as f64;
             }
         }
     }
--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -92,8 +92,9 @@
     overdue_check_due: bool,
     /// When the next timer is due; the largest value: no timer is set.
     timer_at: Micros,
+    /// The running means per period, from which prices, weights and the subset follow.
     stats: Stats,
-    /// The servers by machine kind.
+    /// The servers by machine kind, each kind with its concurrency limit.
     pools: Vec<Pool>,
     /// A random number, 0 to 1, drawn anew each period, that is added to the calls in flight when they are
     /// compared with a limit. So a limit of 0.3 allows one call in three of ten periods.
--- a/crates/decisions/src/balancer/outlier_ejection.rs
+++ b/crates/decisions/src/balancer/outlier_ejection.rs
@@ -21,10 +21,10 @@
 /// A delay by less than this share of the aim costs the caller nothing and is no evidence against a server,
 /// however fast it usually is: any fully loaded machine causes such delays.
 pub(super) const FREE_DELAY_AIM_SHARE: f64 = 0.02;
-/// A delay by this share of the aim may count in full.
+/// A delay by this share of the aim may count in full; a smaller one never does.
 const FULL_DELAY_AIM_SHARE: f64 = 0.1;
-/// The length of the first ejection: a few times that of a call. Doubled, it reaches the time that discovery
-/// takes to remove a server.
+/// The length of the first ejection: a few times that of a call. After all doublings it reaches the time that
+/// discovery takes to remove a server.
 const FIRST_EJECTION: Micros = Micros(1_000_000);
 /// The largest number of times that the length of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
@@ -47,8 +47,8 @@
     /// Returns whether a server may be called for a class: it is ejected neither as a whole nor for the
     /// class, or it is due for a single probe. A request that is safe to repeat makes the probe. If none has
     /// come for as long as the back-off again, any request may, since the server has to be able to come back.
-    pub(super) fn is_eligible(&self, s: &Server, class: usize) -> bool {
-        let keys = [s.health.first(), s.health.get(class + 1)];
+    pub(super) fn is_eligible(&self, server: &Server, class: usize) -> bool {
+        let keys = [server.health.first(), server.health.get(class + 1)];
         keys.into_iter().flatten().all(|record| match record.ejected_until {
             None => true,
             Some(until) => {
@@ -61,7 +61,7 @@
                     };
                 self.now >= due
                     && !record.probe_in_flight
-                    && s.calls.is_empty()
+                    && server.calls.is_empty()
                     && (record.peer_severity == 0.0 || record.probes_here)
             }
         })
@@ -80,64 +80,73 @@
     /// attributed to the server. Drawback: a good server may be ejected for a while.
     pub(super) fn record_outcome(
         &mut self,
-        server: ServerId,
+        server_id: ServerId,
         class: usize,
         expected: f64,
         blame: f64,
-        o: &Outcome,
+        outcome: &Outcome,
     ) {
         let (now, first_back_off) = (self.now, self.first_back_off());
-        let s = &mut self.servers[server.0 as usize];
-        let Some(i) = s.calls.iter().position(|c| c.id == o.id && c.attempt == o.attempt) else { return };
-        let call = s.calls.swap_remove(i);
-        self.pools[s.pool].calls_in_flight -= 1;
-        s.is_unreachable = o.code == Code::ConnectFailed;
-        s.has_answered |= matches!(o.code, Code::Ok | Code::Error | Code::Full | Code::Rejected);
-        s.confirmed_at = match o.code {
-            Code::Ok | Code::Error => s.confirmed_at.max(call.sent_at),
+        let server = &mut self.servers[server_id.0 as usize];
+        let Some(index) =
+            server.calls.iter().position(|c| c.id == outcome.id && c.attempt == outcome.attempt)
+        else {
+            return;
+        };
+        let call = server.calls.swap_remove(index);
+        self.pools[server.pool].calls_in_flight -= 1;
+        server.is_unreachable = outcome.code == Code::ConnectFailed;
+        server.has_answered |= matches!(outcome.code, Code::Ok | Code::Error | Code::Full | Code::Rejected);
+        server.confirmed_at = match outcome.code {
+            Code::Ok | Code::Error => server.confirmed_at.max(call.sent_at),
             Code::Full | Code::ConnectFailed => NEVER,
-            _ => s.confirmed_at,
+            _ => server.confirmed_at,
         };
-        if !matches!(o.code, Code::ConnectFailed | Code::Moot | Code::Reset) {
-            (s.idle_connections, s.idle_since) = (s.idle_connections + 1, now);
+        if !matches!(outcome.code, Code::ConnectFailed | Code::Moot | Code::Reset) {
+            (server.idle_connections, server.idle_since) = (server.idle_connections + 1, now);
         }
-        if let Some(in_progress) = o.load.and_then(|l| l.in_flight) {
-            s.reported_load = Some((in_progress, now));
+        if let Some(in_progress) = outcome.load.and_then(|l| l.in_flight) {
+            server.reported_load = Some((in_progress, now));
             self.stats.mean_reported_load += CALL_WEIGHT * (in_progress - self.stats.mean_reported_load);
         }
-        let bad = match o.code {
+        let bad = match outcome.code {
             // Slow answers are evidence of a slow server as time-outs are, but only from a later time on,
             // since work is heavy-tailed.
-            Code::Ok => {
-                self.lateness(class, o.latency, SLOW_FROM_FACTOR * expected, SLOW_OVER_FACTOR * expected)
-            }
+            Code::Ok => self.lateness(
+                class,
+                outcome.latency,
+                SLOW_FROM_FACTOR * expected,
+                SLOW_OVER_FACTOR * expected,
+            ),
             Code::Error | Code::Reset | Code::ConnectFailed => 1.0,
             // An overdue call has already been added to the scores. Any other time-out counts by how late it
             // was.
             Code::Timeout | Code::Cancelled if call.is_overdue => {
-                return health_of(s, class)
+                return health_of(server, class)
                     .for_each(|record| record.finish_probe(now, first_back_off, false));
             }
-            Code::Timeout => self.lateness(class, o.latency, expected, TIMEOUT_OVER_FACTOR * expected),
+            Code::Timeout => self.lateness(class, outcome.latency, expected, TIMEOUT_OVER_FACTOR * expected),
             _ => 0.0,
         } * blame;
-        let s = &mut self.servers[server.0 as usize];
-        let answered_well = o.code == Code::Ok && bad == 0.0;
+        let server = &mut self.servers[server_id.0 as usize];
+        let answered_well = outcome.code == Code::Ok && bad == 0.0;
         // The attempt ended before it could show anything about the server.
-        if bad == 0.0 && !matches!(o.code, Code::Ok | Code::Error) {
-            return health_of(s, class).for_each(|record| record.probe_in_flight = false);
+        if bad == 0.0 && !matches!(outcome.code, Code::Ok | Code::Error) {
+            return health_of(server, class).for_each(|record| record.probe_in_flight = false);
         }
-        s.last_ok_at = if answered_well { now } else { s.last_ok_at };
+        server.last_ok_at = if answered_well { now } else { server.last_ok_at };
         if bad > 0.0 {
-            let (latency, local_delay, expected) = (o.latency, o.local_delay, Micros(expected as i64));
-            s.last_bad_outcome = Some(BadOutcome { code: Some(o.code), latency, local_delay, expected });
+            let (latency, local_delay, expected) =
+                (outcome.latency, outcome.local_delay, Micros(expected as i64));
+            server.last_bad_outcome =
+                Some(BadOutcome { code: Some(outcome.code), latency, local_delay, expected });
         }
-        update_scores(s, class, bad, now);
+        update_scores(server, class, bad, now);
         // A list removed the server, but removals are advisory. If it answers, the list is wrong; if it can't
         // be reached, the list is right.
-        if s.is_doubted && answered_well {
-            (s.is_doubted, self.subset_is_stale) = (false, true);
-        } else if s.is_doubted && o.code == Code::ConnectFailed {
+        if server.is_doubted && answered_well {
+            (server.is_doubted, self.subset_is_stale) = (false, true);
+        } else if server.is_doubted && outcome.code == Code::ConnectFailed {
             let ejected_until = now + back_off_after(first_back_off, MAX_EJECTION_DOUBLINGS);
             let ejected = HealthRecord {
                 outlier_score: 1.0,
@@ -145,9 +154,9 @@
                 ejections: MAX_EJECTION_DOUBLINGS,
                 ..HealthRecord::default()
             };
-            s.health[0] = HealthRecord { by_own_score: true, ..ejected };
+            server.health[0] = HealthRecord { by_own_score: true, ..ejected };
         }
-        for record in health_of(s, class) {
+        for record in health_of(server, class) {
             let was_ejected = record.ejected_until.is_some();
             record.finish_probe(now, first_back_off, bad < 0.5);
             self.subset_is_stale |= was_ejected && record.ejected_until.is_none();
@@ -174,10 +183,10 @@
         }
         let now = self.now;
         let mut unanswered = Vec::new();
-        for &i in &self.busy_servers {
-            let s = &mut self.servers[i as usize];
-            let last_ok_at = s.last_ok_at;
-            let due = s.calls.iter_mut().filter(|c| !c.is_overdue && c.overdue_at <= now);
+        for &index in &self.busy_servers {
+            let server = &mut self.servers[index as usize];
+            let last_ok_at = server.last_ok_at;
+            let due = server.calls.iter_mut().filter(|c| !c.is_overdue && c.overdue_at <= now);
             let mut unanswered_here: Vec<Overdue> = Vec::new();
             for call in due {
                 call.is_overdue = true;
@@ -193,9 +202,9 @@
                 unanswered_here.extend((last_ok_at <= call.sent_at).then_some(overdue));
             }
             for overdue in &unanswered_here {
-                update_scores(s, overdue.class, 1.0, now);
+                update_scores(server, overdue.class, 1.0, now);
                 let (latency, expected) = (overdue.elapsed, overdue.expected);
-                s.last_bad_outcome =
+                server.last_bad_outcome =
                     Some(BadOutcome { code: None, latency, local_delay: Micros(0), expected });
             }
             unanswered.extend(unanswered_here);
@@ -204,17 +213,18 @@
             self.eject(actions);
         }
         for Overdue { id, attempt, .. } in unanswered {
-            let Some(r) = self.requests.get(&id).filter(|r| !r.is_finished && self.settings.may_cancel)
+            let Some(request) =
+                self.requests.get(&id).filter(|request| !request.is_finished && self.settings.may_cancel)
             else {
                 continue;
             };
-            let may_retry = !matches!(self.settings.classes[r.class].effect, Effect::Unsafe)
-                && r.attempts.len() < self.settings.max_attempts as usize;
+            let may_retry = !matches!(self.settings.classes[request.class].effect, Effect::Unsafe)
+                && request.attempts.len() < self.settings.max_attempts as usize;
             // An attempt that hangs must not use up the time of the requests that wait for its key.
             let others_wait =
-                r.key.and_then(|k| self.key_queues.get(&k)).is_some_and(|q| q.requests.len() > 1);
+                request.key.and_then(|k| self.key_queues.get(&k)).is_some_and(|q| q.requests.len() > 1);
             if others_wait
-                || (may_retry && self.retry_tokens >= 1.0 && self.value(id, r, IN_TIME_FACTOR) > 0.0)
+                || (may_retry && self.retry_tokens >= 1.0 && self.value(id, request, IN_TIME_FACTOR) > 0.0)
             {
                 actions.push(Action::Cancel { id, attempt });
             }
@@ -225,15 +235,15 @@
     /// comparison is relative because all servers that call a failing lower tier return errors together, and
     /// none of them should be ejected for that.
     pub(super) fn eject(&mut self, actions: &mut Vec<Action>) {
-        let subset = self.subset.iter().map(|&i| &self.servers[i as usize]);
+        let subset = self.subset.iter().map(|&index| &self.servers[index as usize]);
         let (mut ready, mut ejected, mut sums, mut candidates) = (0, 0, Vec::new(), Vec::new());
-        for s in subset.filter(|s| s.entry.state == ListedState::Ready) {
+        for server in subset.filter(|server| server.entry.state == ListedState::Ready) {
             ready += 1;
-            sums.resize(sums.len().max(s.health.len()), 0.0);
-            ejected += usize::from(s.health.iter().any(|record| record.ejected_until.is_some()));
-            for (key, record) in s.health.iter().enumerate() {
+            sums.resize(sums.len().max(server.health.len()), 0.0);
+            ejected += usize::from(server.health.iter().any(|record| record.ejected_until.is_some()));
+            for (key, record) in server.health.iter().enumerate() {
                 // A good answer to this instance outweighs an older verdict of others.
-                let bad = if record.peer_found_at > s.last_ok_at {
+                let bad = if record.peer_found_at > server.last_ok_at {
                     record.outlier_score.max(record.peer_severity)
                 } else {
                     record.outlier_score
@@ -242,7 +252,7 @@
                 if record.ejected_until.is_none() && bad >= EJECT_SCORE {
                     candidates.push((
                         bad,
-                        s.entry.server.0 as usize,
+                        server.entry.server.0 as usize,
                         key,
                         back_off_after(self.first_back_off(), record.ejections),
                     ));
@@ -250,17 +260,17 @@
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.2.cmp(&b.2)));
-        for (bad, server, key, back_off) in candidates {
+        for (bad, index, key, back_off) in candidates {
             let mean_of_peers = (sums[key] - bad) / (ready - 1).max(1) as f64;
             // A server that is already ejected for a class does not count again; otherwise, among few
             // servers, it could never be ejected as a whole.
-            let is_first = self.servers[server].health.iter().all(|record| record.ejected_until.is_none());
+            let is_first = self.servers[index].health.iter().all(|record| record.ejected_until.is_none());
             let is_full = is_first && ejected >= (ready / MAX_EJECTED_ONE_IN).max(1);
             if ready < 2 || is_full || bad < EJECT_SCORE + 2.0 * mean_of_peers {
                 continue;
             }
-            let last_bad_outcome = self.servers[server].last_bad_outcome;
-            let record = &mut self.servers[server].health[key];
+            let last_bad_outcome = self.servers[index].last_bad_outcome;
+            let record = &mut self.servers[index].health[key];
             (record.ejected_until, record.ejections) = (Some(self.now + back_off), record.ejections + 1);
             record.by_own_score = record.outlier_score >= EJECT_SCORE;
             ejected += usize::from(is_first);
@@ -271,7 +281,7 @@
                     Some(outcome) => format!(": {outcome}"),
                     None => ", by the verdict of other instances".to_string(),
                 };
-                let text = format!("server {server} ejected{what}, outlier score {bad:.2}{last}");
+                let text = format!("server {index} ejected{what}, outlier score {bad:.2}{last}");
                 actions.push(Action::Log(text));
             }
         }
@@ -283,9 +293,9 @@
     /// without a probe.
     pub(super) fn apply_peer_verdict(&mut self, verdict: PeerVerdict, actions: &mut Vec<Action>) {
         let key = verdict.class.map_or(0, |c| c.0 as usize + 1);
-        let Some(s) = self.servers.get_mut(verdict.server.0 as usize) else { return };
-        s.health.resize(s.health.len().max(key + 1), HealthRecord::default());
-        let record = &mut s.health[key];
+        let Some(server) = self.servers.get_mut(verdict.server.0 as usize) else { return };
+        server.health.resize(server.health.len().max(key + 1), HealthRecord::default());
+        let record = &mut server.health[key];
         if verdict.severity == 0.0 && record.peer_severity > 0.0 && !record.probes_here {
             (record.outlier_score, record.ejected_until, record.probe_in_flight) = (0.0, None, false);
             self.subset_is_stale = true;
@@ -304,8 +314,9 @@
 
 /// Returns the health records that a call of the class affects: that of the server as a whole, and that for
 /// the class.
-pub(super) fn health_of(s: &mut Server, class: usize) -> impl Iterator<Item = &mut HealthRecord> {
-    s.health
+pub(super) fn health_of(server: &mut Server, class: usize) -> impl Iterator<Item = &mut HealthRecord> {
+    server
+        .health
         .iter_mut()
         .enumerate()
         .filter(move |(key, _)| *key == 0 || *key == class + 1)
@@ -314,19 +325,19 @@
 
 /// Adds an outcome, 0 (good) to 1 (bad), to the outlier scores. The rarer the outcomes of a server are, the
 /// more each one weighs.
-fn update_scores(s: &mut Server, class: usize, bad: f64, now: Micros) {
-    if s.health.is_empty() && bad == 0.0 {
-        s.last_ended_at = now;
+fn update_scores(server: &mut Server, class: usize, bad: f64, now: Micros) {
+    if server.health.is_empty() && bad == 0.0 {
+        server.last_ended_at = now;
         return;
     }
-    if s.health.len() < class + 2 {
-        s.health.resize(class + 2, HealthRecord::default());
+    if server.health.len() < class + 2 {
+        server.health.resize(class + 2, HealthRecord::default());
     }
-    let weight = Balancer::signal_weight(now - s.last_ended_at).max(MIN_SCORE_WEIGHT);
-    s.last_ended_at = now;
-    let class_score = if bad > 0.0 { s.health[class + 1].outlier_score } else { 0.0 };
+    let weight = Balancer::signal_weight(now - server.last_ended_at).max(MIN_SCORE_WEIGHT);
+    server.last_ended_at = now;
+    let class_score = if bad > 0.0 { server.health[class + 1].outlier_score } else { 0.0 };
     for (key, share) in [(0, 1.0 - class_score), (class + 1, 1.0)] {
-        let record = &mut s.health[key];
+        let record = &mut server.health[key];
         record.outlier_score += weight * share * (bad - record.outlier_score);
         if record.outlier_score < WELL_SCORE && record.ejected_until.is_none() && bad == 0.0 {
             record.ejections = record.ejections.saturating_sub(1);
--- a/crates/decisions/src/balancer/pricing.rs
+++ b/crates/decisions/src/balancer/pricing.rs
@@ -45,7 +45,7 @@
     /// of its server and pool.
     pub(super) fn learn_served_time(
         &mut self,
-        server: ServerId,
+        server_id: ServerId,
         class: usize,
         price: f64,
         expected: f64,
@@ -54,10 +54,10 @@
         let mean = self.mean_times[class].get_or_insert(time);
         *mean += CALL_WEIGHT * (time - *mean);
         self.time_estimate.add_sample(price, time.min(MAX_SLOWNESS * expected.max(price)));
-        let s = &mut self.servers[server.0 as usize];
-        let pool = &mut self.pools[s.pool];
+        let server = &mut self.servers[server_id.0 as usize];
+        let pool = &mut self.pools[server.pool];
         let ratio = (time / expected).min(2.0 * MAX_SLOWNESS);
-        s.time_ratio += 2.0 * CALL_WEIGHT * (ratio / pool.time_ratio.max(0.01) - s.time_ratio);
+        server.time_ratio += 2.0 * CALL_WEIGHT * (ratio / pool.time_ratio.max(0.01) - server.time_ratio);
         pool.time_ratio += CALL_WEIGHT * (ratio - pool.time_ratio);
         // Served times are heavy-tailed, so this is a mean of logarithms. It is taken relative to the square
         // root of the price, since only a part of the time grows with the price.
@@ -76,14 +76,15 @@
     /// the server's served times compared with those of its pool, of its units where they state its size, and
     /// of the load that it reports. The factor is bounded, so that a wrong one makes the load uneven and does
     /// not exclude a server.
-    pub(super) fn slowness(&self, s: &Server) -> f64 {
-        let pool = &self.pools[s.pool];
-        let has_size = self.settings.weight_by_units && s.entry.units > 0.0;
-        let size = if has_size { pool.time_ratio * pool.mean_units / s.entry.units } else { pool.time_ratio };
-        let load_factor = s.reported_load.map_or(1.0, |(in_progress, at)| {
+    pub(super) fn slowness(&self, server: &Server) -> f64 {
+        let pool = &self.pools[server.pool];
+        let has_size = self.settings.weight_by_units && server.entry.units > 0.0;
+        let size =
+            if has_size { pool.time_ratio * pool.mean_units / server.entry.units } else { pool.time_ratio };
+        let load_factor = server.reported_load.map_or(1.0, |(in_progress, at)| {
             let freshness = (1.0 - (self.now - at).0 as f64 / REPORT_LASTS_US).max(0.0);
             1.0 + freshness * ((1.0 + in_progress) / (1.0 + self.stats.mean_reported_load) - 1.0)
         });
-        (size * (s.time_ratio * load_factor).sqrt()).clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS)
+        (size * (server.time_ratio * load_factor).sqrt()).clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS)
     }
 }
--- a/crates/decisions/src/balancer/request_faults.rs
+++ b/crates/decisions/src/balancer/request_faults.rs
@@ -16,14 +16,15 @@
     /// request changes no mean and no limit, is not retried, and may use only half of the concurrency limit.
     /// This guards against bad input and slow back ends. Drawback: where most servers fail a class, they are
     /// not ejected for it.
-    pub(super) fn fault_share(&self, r: &Request) -> f64 {
-        self.failure_shares[r.class].excess.max(self.failure_shares[r.tenant_index].excess)
+    pub(super) fn fault_share(&self, request: &Request) -> f64 {
+        self.failure_shares[request.class].excess.max(self.failure_shares[request.tenant_index].excess)
     }
 
     /// Adds an outcome to the failure shares of its class and tenant, whose indices are given.
-    pub(super) fn record_fault(&mut self, indices: [usize; 2], expected: f64, o: &Outcome) {
-        let late = (o.latency.0 as f64 - expected) / self.settings.classes[indices[0]].aim.0.max(1) as f64;
-        let bad = match o.code {
+    pub(super) fn record_fault(&mut self, indices: [usize; 2], expected: f64, outcome: &Outcome) {
+        let late =
+            (outcome.latency.0 as f64 - expected) / self.settings.classes[indices[0]].aim.0.max(1) as f64;
+        let bad = match outcome.code {
             Code::Error => 1.0,
             Code::Ok | Code::Timeout | Code::Cancelled => late.clamp(0.0, 1.0),
             _ => return,
--- a/crates/decisions/src/balancer/retry.rs
+++ b/crates/decisions/src/balancer/retry.rs
@@ -20,8 +20,9 @@
     /// of its expected time, at most 1, so an attempt that failed at once is cheap to retry.
     pub(super) fn retry(&mut self, id: RequestId, spent: f64, actions: &mut Vec<Action>) {
         let cost = spent.clamp(MIN_RETRY_COST, 1.0);
-        let is_worthwhile =
-            |r: &Request| self.value(id, r, RETRY_IN_TIME_FACTOR) > 0.0 && self.fault_share(r) < FAULTY_SHARE;
+        let is_worthwhile = |request: &Request| {
+            self.value(id, request, RETRY_IN_TIME_FACTOR) > 0.0 && self.fault_share(request) < FAULTY_SHARE
+        };
         let is_worthwhile = self.requests.get(&id).is_some_and(is_worthwhile);
         if !is_worthwhile || self.retry_tokens < cost {
             return self.refuse_or_fail(id, actions);
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -23,11 +23,12 @@
         if self.subset_is_stale {
             self.choose_subset();
         }
-        let Some(r) = self.requests.get(&id) else { return PickResult::NoServer };
-        let would_be_parallel = !self.settings.parallel_attempts && r.attempts.iter().any(|a| a.in_flight);
+        let Some(request) = self.requests.get(&id) else { return PickResult::NoServer };
+        let would_be_parallel =
+            !self.settings.parallel_attempts && request.attempts.iter().any(|attempt| attempt.in_flight);
         if would_be_parallel
-            || r.expires <= self.now
-            || r.attempts.len() >= self.settings.max_attempts as usize
+            || request.expires <= self.now
+            || request.attempts.len() >= self.settings.max_attempts as usize
         {
             return PickResult::NoServer;
         }
@@ -38,31 +39,32 @@
         // Rule 6: requests with the same key run one at a time, in the order of arrival, and the key is
         // paused after one that may still be running. The pause does not apply to retries of the first
         // request in the queue. Waiting for the key does not count as congestion.
-        if let Some(queue) = r.key.and_then(|k| self.key_queues.get(&k)) {
-            if queue.requests.front() != Some(&id) || (r.attempts.is_empty() && self.now < queue.paused_until)
+        if let Some(queue) = request.key.and_then(|k| self.key_queues.get(&k)) {
+            if queue.requests.front() != Some(&id)
+                || (request.attempts.is_empty() && self.now < queue.paused_until)
             {
                 return PickResult::Wait;
             }
         }
         // Rule 2: an attempt that may have run, or may still run, restricts where later attempts may go.
-        let effect = self.settings.classes[r.class].effect;
+        let effect = self.settings.classes[request.class].effect;
         let mut bound: Option<(DedupScope, &ServerEntry)> = None;
-        for a in r.attempts.iter().filter(|a| a.may_have_run) {
+        for attempt in request.attempts.iter().filter(|attempt| attempt.may_have_run) {
             match effect {
                 Effect::Safe => {}
                 Effect::Unsafe => return PickResult::NoServer,
-                Effect::Keyed { window, .. } if self.now - a.sent_at >= window => {
+                Effect::Keyed { window, .. } if self.now - attempt.sent_at >= window => {
                     return PickResult::NoServer
                 }
                 Effect::Keyed { scope, .. } => {
-                    bound = Some((scope, &self.servers[a.server.0 as usize].entry))
+                    bound = Some((scope, &self.servers[attempt.server.0 as usize].entry))
                 }
             }
         }
         // Requests beyond the quota of their tenant, repeats by clients, and requests of a class or tenant
         // that fails on any server get a smaller part of the concurrency limit.
-        let is_low = self.settings.tier == 0 && (r.over_quota || r.is_repeat);
-        let is_faulty = self.fault_share(r) >= FAULTY_SHARE;
+        let is_low = self.settings.tier == 0 && (request.over_quota || request.is_repeat);
+        let is_faulty = self.fault_share(request) >= FAULTY_SHARE;
         let is_reduced = |p: &Pool| is_faulty || (is_low && p.congestion > CONGESTED / 2.0);
         let share = |p: &Pool| if is_reduced(p) { LOW_WORTH_LIMIT_SHARE } else { 1.0 };
         let has_room = |p: &Pool| retry || p.calls_in_flight as f64 + self.limit_dither < share(p) * p.limit;
@@ -73,96 +75,105 @@
         let (mut best, mut must_wait) = ([None; 4], false);
         let with_idle_connection =
             self.subset.iter().filter(|&&i| self.has_idle_connection(&self.servers[i as usize])).count();
-        for s in self.subset.iter().map(|&i| &self.servers[i as usize]) {
+        for server in self.subset.iter().map(|&i| &self.servers[i as usize]) {
             let is_in_scope = match bound {
-                Some((DedupScope::Zone, first)) => first.zone == s.entry.zone,
-                Some((DedupScope::Cell, first)) => first.zone == s.entry.zone && first.cell == s.entry.cell,
+                Some((DedupScope::Zone, first)) => first.zone == server.entry.zone,
+                Some((DedupScope::Cell, first)) => {
+                    first.zone == server.entry.zone && first.cell == server.entry.cell
+                }
                 _ => true,
             };
             // Rule 5 applies to every attempt.
-            if s.entry.state != ListedState::Ready
+            if server.entry.state != ListedState::Ready
                 || !is_in_scope
-                || !is_allowed(&self.settings.classes[r.class], &s.entry)
+                || !is_allowed(&self.settings.classes[request.class], &server.entry)
             {
                 continue;
             }
-            let rank = match self.is_eligible(s, r.class) && self.is_likely_to_stay(s) {
+            let rank = match self.is_eligible(server, request.class) && self.is_likely_to_stay(server) {
                 // The server declined a call or was unreachable, and may be leaving.
-                false if s.confirmed_at == NEVER && !self.is_watched() => 3,
+                false if server.confirmed_at == NEVER && !self.is_watched() => 3,
                 // Such a server is used only in panic: none is left that is healthy and likely to stay.
                 false => 2,
-                true if r.attempts.iter().any(|a| a.server == s.entry.server) => 1,
+                true if request.attempts.iter().any(|attempt| attempt.server == server.entry.server) => 1,
                 true => 0,
             };
-            if !has_room(&self.pools[s.pool])
-                || (s.started_at.is_some_and(is_cold)
-                    && s.cold_bucket < (r.price - self.stats.cr / self.stats.gain).max(0.0))
+            if !has_room(&self.pools[server.pool])
+                || (server.started_at.is_some_and(is_cold)
+                    && server.cold_bucket < (request.price - self.stats.cr / self.stats.gain).max(0.0))
             {
                 must_wait |= rank < 2;
                 continue;
             }
             // Where servers differ, the cost that this call would book counts like the cost booked already.
-            let sent = s.sent_since_update
-                + self.stats.dec * self.stats.gain * r.price * self.slowness(s) * s.random_factor;
+            let sent = server.sent_since_update
+                + self.stats.dec
+                    * self.stats.gain
+                    * request.price
+                    * self.slowness(server)
+                    * server.random_factor;
             // Servers with an idle connection are preferred: such a server has answered, and no call of this
             // instance waits on that connection. A board of this instance's own sends shows no more than that
             // about a server. Drawback: a server that fails at once looks idle. A cold server is limited by
             // its bucket and is not charged for a new connection: when it was, few callers or none sent
             // anything to new servers.
-            let crossing = if s.entry.zone == self.settings.zone {
+            let crossing = if server.entry.zone == self.settings.zone {
                 0.0
             } else {
                 CROSSING_CALLS * self.settings.crossing_price
             };
             let connects_freely = with_idle_connection < MIN_OPEN_SERVERS
-                || (s.calls.is_empty() && s.started_at.is_some_and(is_cold));
-            let extra = if self.has_idle_connection(s) || (connects_freely && !s.is_unreachable) {
+                || (server.calls.is_empty() && server.started_at.is_some_and(is_cold));
+            let extra = if self.has_idle_connection(server) || (connects_freely && !server.is_unreachable) {
                 crossing
             } else {
                 crossing + NEW_CONNECTION_CALLS
             };
-            let net_weight = s.weight - sent / self.stats.cr - self.stats.dec * extra;
+            let net_weight = server.weight - sent / self.stats.cr - self.stats.dec * extra;
             if best[rank].is_none_or(|(weight, _): (f64, ServerId)| net_weight > weight) {
-                best[rank] = Some((net_weight, s.entry.server));
+                best[rank] = Some((net_weight, server.entry.server));
             }
         }
         match best.iter().flatten().next() {
-            Some(b) if best[..2].contains(&Some(*b)) || !must_wait => PickResult::Server(b.1),
+            Some(choice) if best[..2].contains(&Some(*choice)) || !must_wait => PickResult::Server(choice.1),
             _ if must_wait => PickResult::Wait,
             _ => PickResult::NoServer,
         }
     }
 
     /// Returns whether this instance has an idle connection to the server, as far as it knows.
-    pub(super) fn has_idle_connection(&self, s: &Server) -> bool {
-        s.idle_connections > 0 && self.now - s.idle_since < self.settings.idle_close
+    pub(super) fn has_idle_connection(&self, server: &Server) -> bool {
+        server.idle_connections > 0 && self.now - server.idle_since < self.settings.idle_close
     }
 
     /// Sends an attempt of the request to the server, and books its cost.
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let slowness = self.slowness(&self.servers[server.0 as usize]);
-        let Some(r) = self.requests.get(&id) else { return };
+        let slowness = self.slowness(&self.servers[server_id.0 as usize]);
+        let Some(request) = self.requests.get(&id) else { return };
         let overdue_after =
-            Micros((self.time_estimate.served_time(r.price) * OVERDUE_FACTOR) as i64) + PERIOD;
-        let overdue_at = if self.fault_share(r) >= FAULTY_SHARE { r.expires } else { now + overdue_after };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let s = &mut self.servers[server.0 as usize];
-        let price = r.price * slowness * self.stats.gain;
-        s.board.queue.push((now, price));
-        s.sent_since_update += price;
-        s.cold_bucket -= r.price;
-        for record in health_of(s, r.class) {
+            Micros((self.time_estimate.served_time(request.price) * OVERDUE_FACTOR) as i64) + PERIOD;
+        let overdue_at =
+            if self.fault_share(request) >= FAULTY_SHARE { request.expires } else { now + overdue_after };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let server = &mut self.servers[server_id.0 as usize];
+        let price = request.price * slowness * self.stats.gain;
+        server.board.queue.push((now, price));
+        server.sent_since_update += price;
+        server.cold_bucket -= request.price;
+        for record in health_of(server, request.class) {
             record.probe_in_flight = record.ejected_until.is_some();
         }
-        s.idle_connections = s.idle_connections.saturating_sub(1);
-        if !std::mem::replace(&mut s.is_busy, true) {
-            self.busy_servers.push(server.0);
+        server.idle_connections = server.idle_connections.saturating_sub(1);
+        if !std::mem::replace(&mut server.is_busy, true) {
+            self.busy_servers.push(server_id.0);
         }
-        s.random_factor = 1.0 - RANDOM_FACTOR_SPREAD + 2.0 * RANDOM_FACTOR_SPREAD * self.rng.f64();
-        let (attempt, class, sent_at, is_overdue) = (r.attempts.len() as u32, r.class, now, false);
-        let (booked_until, unscaled_price) = (s.board.tc.max(now.0 as f64) + price, r.price * slowness);
-        s.calls.push(InFlightCall {
+        server.random_factor = 1.0 - RANDOM_FACTOR_SPREAD + 2.0 * RANDOM_FACTOR_SPREAD * self.rng.f64();
+        let (attempt, class, sent_at, is_overdue) =
+            (request.attempts.len() as u32, request.class, now, false);
+        let (booked_until, unscaled_price) =
+            (server.board.tc.max(now.0 as f64) + price, request.price * slowness);
+        server.calls.push(InFlightCall {
             id,
             attempt,
             class,
@@ -172,12 +183,17 @@
             booked_until,
             unscaled_price,
         });
-        r.attempts.push(Attempt { server, sent_at: now, in_flight: true, may_have_run: true });
-        self.pools[s.pool].calls_in_flight += 1;
+        request.attempts.push(Attempt {
+            server: server_id,
+            sent_at: now,
+            in_flight: true,
+            may_have_run: true,
+        });
+        self.pools[server.pool].calls_in_flight += 1;
         self.stats.sent_count += 1.0;
         self.stats.sent_raw += unscaled_price;
         self.stats.sent_booked += unscaled_price * self.stats.gain;
-        actions.push(Action::Send { id, server, timeout: r.expires - now });
+        actions.push(Action::Send { id, server: server_id, timeout: request.expires - now });
     }
 }
 
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -20,16 +20,17 @@
     /// that all instances together keep to the budget. The number of cores of a server does not limit the
     /// rate, since it is not known how much of a core a price stands for: with such a limit, new servers were
     /// idle while the old ones were overloaded.
-    pub(super) fn fill_cold_buckets(&mut self, ended: f64) {
+    pub(super) fn fill_cold_buckets(&mut self, ended_periods: f64) {
         let rate = COLD_RATE_SHARE * self.stats.raw / self.subset.len().max(1) as f64;
         let mean_price = self.stats.cr / self.stats.gain;
         let window = self.settings.cold_overload_window.0 as f64 / PERIOD.0 as f64;
         for position in 0..self.subset.len() {
-            let i = self.subset[position] as usize;
-            let Some(started_at) = self.servers[i].started_at else { continue };
+            let index = self.subset[position] as usize;
+            let Some(started_at) = self.servers[index].started_at else { continue };
             let fill = self.warm_share(started_at) * rate;
-            let s = &mut self.servers[i];
-            s.cold_bucket = (s.cold_bucket + fill * ended).min((fill * window).max(mean_price));
+            let server = &mut self.servers[index];
+            server.cold_bucket =
+                (server.cold_bucket + fill * ended_periods).min((fill * window).max(mean_price));
         }
     }
 
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -123,8 +123,11 @@
 pub struct Decisions {
     balancer: Balancer,
     names: Names,
+    /// The effect that a repeat has, by class.
     effects: Vec<Effect>,
+    /// The times, in microseconds, at which timers are due, the earliest first.
     due: BinaryHeap<Reverse<i64>>,
+    /// The actions of the present event; the buffer is reused.
     actions: Vec<Action>,
 }
 
@@ -246,31 +249,35 @@
     fn server_observations(&self, now: Micros) -> Vec<ServerObservation> {
         let mut all = Vec::new();
         let no_records = [HealthRecord::default()];
-        for s in self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready) {
-            let unanswered = s.calls.iter().filter(|c| s.last_ok_at <= c.sent_at);
+        for server in self.balancer.servers().iter().filter(|server| server.entry.state == ListedState::Ready)
+        {
+            let unanswered = server.calls.iter().filter(|c| server.last_ok_at <= c.sent_at);
             let share =
                 |c: &InFlightCall| (now - c.sent_at).0 as f64 / (c.overdue_at - c.sent_at).0.max(1) as f64;
             let overdue_share = unanswered.map(share).fold(0.0, f64::max);
-            let records =
-                if s.health.is_empty() && overdue_share > 0.0 { &no_records[..] } else { &s.health };
+            let records = if server.health.is_empty() && overdue_share > 0.0 {
+                &no_records[..]
+            } else {
+                &server.health
+            };
             for (key, record) in records.iter().enumerate() {
                 // The score is computed from this instance's calls alone, also where a verdict of others came
                 // first.
                 let by_own_score = record.ejected_until.is_some()
                     && (record.by_own_score || record.outlier_score >= EJECT_SCORE);
                 all.push(ServerObservation {
-                    server: s.entry.server,
-                    started_at: s.entry.started_at,
+                    server: server.entry.server,
+                    started_at: server.entry.started_at,
                     class: key.checked_sub(1).map(|c| ClassId(c as u32)),
                     // A low score does not end an ejection, so an ejected server counts as bad by 0.5 at the
                     // least.
                     severity: if by_own_score { record.outlier_score.max(0.5) } else { 0.0 },
                     outlier_score: record.outlier_score,
-                    has_answered: s.has_answered,
-                    is_unreachable: s.is_unreachable,
+                    has_answered: server.has_answered,
+                    is_unreachable: server.is_unreachable,
                     overdue_share: if key == 0 { overdue_share } else { 0.0 },
-                    last_ended_at: s.last_ended_at,
-                    last_ok_at: s.last_ok_at,
+                    last_ended_at: server.last_ended_at,
+                    last_ok_at: server.last_ok_at,
                 });
             }
         }
@@ -289,7 +296,7 @@
 
     /// Returns how many upstreams are listed as ready.
     pub fn ready_count(&self) -> usize {
-        self.balancer.servers().iter().filter(|s| s.entry.state == ListedState::Ready).count()
+        self.balancer.servers().iter().filter(|server| server.entry.state == ListedState::Ready).count()
     }
 
     /// Decides what depends on time alone, if [`next_tick`](Decisions::next_tick) is due.
