--- a/crates/drill/src/draw.rs
+++ b/crates/drill/src/draw.rs
@@ -1,45 +1,45 @@
-//! Faults that are drawn by a seed: of processes, links and disks, one after the other, and all of them ended in the last
-//! part of the drill.
+//! Random faults of processes, links and disks, drawn from the script's seed, one after the other. All of
+//! them have ended when the last part of the drill begins.
 
-use crate::script::{Fault, Script, What};
+use crate::script::{Fault, FaultKind, Script};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The part of a drill's time in which faults come; then all is well again.
-const FAULTS_FOR: f64 = 0.6;
+/// The share of a drill's time during which faults are injected; at its end all of them are ended.
+const FAULT_TIME_SHARE: f64 = 0.6;
 
-struct Drawing {
-    gone: BTreeSet<usize>,
+struct DrawnFaults {
+    not_running: BTreeSet<usize>,
     stopped: BTreeSet<usize>,
-    full: BTreeSet<usize>,
+    full_disks: BTreeSet<usize>,
     faults: Vec<Fault>,
 }
 
-impl Drawing {
-    fn fault(&mut self, at: Duration, what: What, members: Vec<usize>, to: Vec<usize>) {
-        for &m in &members {
+impl DrawnFaults {
+    fn add(&mut self, at: Duration, what: FaultKind, members: Vec<usize>, to: Vec<usize>) {
+        for &member in &members {
             match what {
-                What::Kill | What::Term => {
-                    self.gone.insert(m);
-                    self.stopped.remove(&m);
-                    self.full.remove(&m);
+                FaultKind::Kill | FaultKind::Term => {
+                    self.not_running.insert(member);
+                    self.stopped.remove(&member);
+                    self.full_disks.remove(&member);
                 }
-                What::Start => {
-                    self.gone.remove(&m);
+                FaultKind::Start => {
+                    self.not_running.remove(&member);
                 }
-                What::Stop => {
-                    self.stopped.insert(m);
+                FaultKind::Stop => {
+                    self.stopped.insert(member);
                 }
-                What::Continue => {
-                    self.stopped.remove(&m);
+                FaultKind::Continue => {
+                    self.stopped.remove(&member);
                 }
-                What::FillDisk => {
-                    self.full.insert(m);
+                FaultKind::FillDisk => {
+                    self.full_disks.insert(member);
                 }
-                What::FreeDisk => {
-                    self.full.remove(&m);
+                FaultKind::FreeDisk => {
+                    self.full_disks.remove(&member);
                 }
                 _ => {}
             }
@@ -47,50 +47,53 @@
         self.faults.push(Fault { at, what, members, to });
     }
 
-    /// All that was done is undone.
-    fn undo(&mut self, at: Duration) {
-        self.fault(at, What::Heal, Vec::new(), Vec::new());
+    /// Ends every fault in force: heals the links, and continues, frees or starts the members concerned.
+    fn end_all(&mut self, at: Duration) {
+        self.add(at, FaultKind::Heal, Vec::new(), Vec::new());
         for (what, members) in [
-            (What::Continue, self.stopped.clone()),
-            (What::FreeDisk, self.full.clone()),
-            (What::Start, self.gone.clone()),
+            (FaultKind::Continue, self.stopped.clone()),
+            (FaultKind::FreeDisk, self.full_disks.clone()),
+            (FaultKind::Start, self.not_running.clone()),
         ] {
             if !members.is_empty() {
-                self.fault(at, what, members.into_iter().collect(), Vec::new());
+                self.add(at, what, members.into_iter().collect(), Vec::new());
             }
         }
     }
 }
 
-/// So many faults for a script, by its seed.
-pub(crate) fn faults(script: &Script, count: usize) -> Vec<Fault> {
+/// Draws faults at `count` random times from the script's seed. At some of these times, and after the last,
+/// the faults in force are ended instead.
+pub(crate) fn draw_faults(script: &Script, count: usize) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(script.seed ^ 0x6472_6177);
-    let n = script.members;
-    let until = script.time.mul_f64(FAULTS_FOR);
-    let mut times: Vec<Duration> = (0..count).map(|_| until.mul_f64(rng.random())).collect();
+    let member_count = script.members;
+    let faults_end = script.time.mul_f64(FAULT_TIME_SHARE);
+    let mut times: Vec<Duration> = (0..count).map(|_| faults_end.mul_f64(rng.random())).collect();
     times.sort_unstable();
-    let mut d = Drawing {
-        gone: BTreeSet::new(),
+    let mut drawn = DrawnFaults {
+        not_running: BTreeSet::new(),
         stopped: BTreeSet::new(),
-        full: BTreeSet::new(),
+        full_disks: BTreeSet::new(),
         faults: Vec::new(),
     };
     for at in times {
-        let (one, other) = (rng.random_range(0..n), rng.random_range(0..n));
-        let runs = !d.gone.contains(&one) && !d.stopped.contains(&one);
+        let (member, other) = (rng.random_range(0..member_count), rng.random_range(0..member_count));
+        let is_running = !drawn.not_running.contains(&member) && !drawn.stopped.contains(&member);
         match rng.random_range(0..10) {
-            0 | 1 if runs => d.fault(at, What::Kill, vec![one], Vec::new()),
-            2 if runs => d.fault(at, What::Stop, vec![one], Vec::new()),
-            3 if runs => d.fault(at, What::Term, vec![one], Vec::new()),
-            4 => d.fault(at, What::Split, vec![one], Vec::new()),
-            5 if one != other => d.fault(at, What::Split, vec![one, other], Vec::new()),
-            6 if one != other => d.fault(at, What::Cut, vec![one], vec![other]),
-            7 if runs && script.duties.is_some() => d.fault(at, What::FillDisk, vec![one], Vec::new()),
-            _ => d.undo(at),
+            0 | 1 if is_running => drawn.add(at, FaultKind::Kill, vec![member], Vec::new()),
+            2 if is_running => drawn.add(at, FaultKind::Stop, vec![member], Vec::new()),
+            3 if is_running => drawn.add(at, FaultKind::Term, vec![member], Vec::new()),
+            4 => drawn.add(at, FaultKind::Split, vec![member], Vec::new()),
+            5 if member != other => drawn.add(at, FaultKind::Split, vec![member, other], Vec::new()),
+            6 if member != other => drawn.add(at, FaultKind::Cut, vec![member], vec![other]),
+            7 if is_running && script.duties.is_some() => {
+                drawn.add(at, FaultKind::FillDisk, vec![member], Vec::new())
+            }
+            _ => drawn.end_all(at),
         }
     }
-    d.undo(until);
-    d.faults
+    drawn.end_all(faults_end);
+    drawn.faults
 }
 
 #[cfg(test)]
--- a/crates/drill/src/draw_tests.rs
+++ b/crates/drill/src/draw_tests.rs
@@ -1,31 +1,32 @@
-//! Tests of drawn faults: the same seed draws the same script, and every fault ends.
+//! Tests of drawn faults: the same seed draws the same faults, and every process that was ended is started
+//! again.
 
 use super::*;
 
 #[test]
-fn a_seed_draws_the_same_and_all_faults_end() {
+fn the_same_seed_draws_the_same_faults_and_all_processes_run_at_the_end() {
     let script = |seed: u64| {
         let text = format!(
             "seed = {seed}\nmembers = 5\ntime = \"10s\"\ndrawn = 30\n[duties]\nvoters = 3\nnames = [\"a\"]\n"
         );
         Script::parse(&text).unwrap()
     };
-    let told = |seed| format!("{:?}", faults(&script(seed), 30));
-    assert!(told(1) == told(1) && told(1) != told(2));
-    let mut met = BTreeSet::new();
+    let described = |seed| format!("{:?}", draw_faults(&script(seed), 30));
+    assert!(described(1) == described(1) && described(1) != described(2));
+    let mut kinds = BTreeSet::new();
     for seed in 0..50 {
-        let mut gone = BTreeSet::new();
-        for f in faults(&script(seed), 30) {
-            met.insert(format!("{:?}", f.what));
-            match f.what {
-                What::Kill | What::Term => gone.extend(f.members),
-                What::Start => f.members.iter().for_each(|m| {
-                    gone.remove(m);
+        let mut not_running = BTreeSet::new();
+        for fault in draw_faults(&script(seed), 30) {
+            kinds.insert(format!("{:?}", fault.what));
+            match fault.what {
+                FaultKind::Kill | FaultKind::Term => not_running.extend(fault.members),
+                FaultKind::Start => fault.members.iter().for_each(|member| {
+                    not_running.remove(member);
                 }),
                 _ => {}
             }
         }
-        assert!(gone.is_empty(), "seed {seed}: {gone:?}");
+        assert!(not_running.is_empty(), "seed {seed}: {not_running:?}");
     }
-    assert_eq!(met.len(), 10, "{met:?}");
+    assert_eq!(kinds.len(), 10, "{kinds:?}");
 }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,8 +1,8 @@
-//! Drills: several processes of the program with a relay on every link between them, faults by a script, and
-//! invariants that are checked from outside (docs/fleet-link.md).
+//! Drills: several processes of the program with a relay on every link between them, faults injected by a
+//! script, and invariants that are checked from outside (docs/fleet-link.md).
 //!
-//! The drill speaks the wire alone: it starts the program, asks admin addresses, sends requests, and passes datagrams
-//! on. It knows nothing of the program's inside.
+//! The drill uses the program's network interfaces alone: it starts the program, queries the admin addresses,
+//! sends requests, and relays datagrams. It does not depend on the program's internals.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -1,4 +1,5 @@
-//! The processes of a drill: the program on a file of its own, and what is done to it.
+//! The processes of a drill: each runs the program with its own configuration file, and gets faults from
+//! outside.
 
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use socket2::{Domain, Socket, Type};
@@ -9,76 +10,91 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What a member is to the drill.
+/// The state of a member's process, as the drill knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// Not started yet, killed, or ended.
-    Gone,
-    /// It runs.
-    Runs,
-    /// It is stopped.
+pub enum ProcessState {
+    /// The process has not been started, was killed, or has exited.
+    NotRunning,
+    /// The process was started or continued, and neither ended nor suspended since.
+    Running,
+    /// The process is suspended by SIGSTOP.
     Stopped,
-    /// It was told to end.
-    Ending,
+    /// The process got SIGTERM and has not exited yet.
+    Terminating,
 }
 
-/// One member.
+/// One member of the fleet: its addresses, its configuration file and its process.
 pub struct Member {
     pub name: String,
-    /// Where it takes datagrams, requests and operators' calls.
+    /// The address on which it receives the fleet's datagrams.
     pub link: SocketAddr,
+    /// The address on which it accepts requests.
     pub listen: SocketAddr,
+    /// The address on which it accepts operators' calls.
     pub admin: SocketAddr,
-    pub file: PathBuf,
-    pub life: Life,
+    /// Its configuration file; the log and the state folder stand beside it under the same stem.
+    pub config_file: PathBuf,
+    pub state: ProcessState,
     child: Option<Child>,
-    /// How often it was started.
-    pub starts: u32,
+    /// The number of times that its process was started.
+    pub start_count: u32,
 }
 
-/// Addresses that are free now; each process gets a loopback host of its own, so that no other takes its port.
-pub fn free_addresses(at: usize) -> io::Result<[SocketAddr; 3]> {
-    let host = format!("127.{}.{}.{}:0", 32 + at / 250, std::process::id() % 250 + 1, at % 250 + 1);
-    let at: SocketAddr = host.parse().map_err(io::Error::other)?;
-    // Bound, not listening: a copy that a forked process still holds would take a member's connections.
-    let bound = |kind: Type| {
-        let socket = Socket::new(Domain::for_address(at), kind, None)?;
+/// Returns three addresses that are free now, for the member with this index. Each member gets a loopback
+/// host of its own, so that no other process takes its ports.
+pub fn free_addresses(index: usize) -> io::Result<[SocketAddr; 3]> {
+    let host = format!("127.{}.{}.{}:0", 32 + index / 250, std::process::id() % 250 + 1, index % 250 + 1);
+    let address: SocketAddr = host.parse().map_err(io::Error::other)?;
+    // Bound, but not listening: a forked process may have inherited a copy of the socket, and a listening
+    // copy would accept a member's connections.
+    let bind = |kind: Type| {
+        let socket = Socket::new(Domain::for_address(address), kind, None)?;
         socket.set_reuse_address(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         Ok::<Socket, io::Error>(socket)
     };
-    let sockets = [bound(Type::DGRAM)?, bound(Type::STREAM)?, bound(Type::STREAM)?];
-    let address = |s: &Socket| s.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"));
-    Ok([address(&sockets[0])?, address(&sockets[1])?, address(&sockets[2])?])
+    let sockets = [bind(Type::DGRAM)?, bind(Type::STREAM)?, bind(Type::STREAM)?];
+    let local_address =
+        |s: &Socket| s.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"));
+    Ok([local_address(&sockets[0])?, local_address(&sockets[1])?, local_address(&sockets[2])?])
 }
 
 impl Member {
-    pub fn new(name: String, addresses: [SocketAddr; 3], file: PathBuf) -> Member {
+    pub fn new(name: String, addresses: [SocketAddr; 3], config_file: PathBuf) -> Member {
         let [link, listen, admin] = addresses;
-        Member { name, link, listen, admin, file, life: Life::Gone, child: None, starts: 0 }
+        Member {
+            name,
+            link,
+            listen,
+            admin,
+            config_file,
+            state: ProcessState::NotRunning,
+            child: None,
+            start_count: 0,
+        }
     }
 
     pub fn start(&mut self, program: &Path) -> io::Result<()> {
         self.kill();
-        self.starts += 1;
-        let log = File::options().append(true).create(true).open(self.file.with_extension("log"))?;
+        self.start_count += 1;
+        let log = File::options().append(true).create(true).open(self.config_file.with_extension("log"))?;
         let child = Command::new(program)
             .arg("serve")
-            .arg(&self.file)
+            .arg(&self.config_file)
             .env_remove("GW_CONFIG")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
-        self.life = Life::Runs;
+        self.state = ProcessState::Running;
         Ok(())
     }
 
-    pub fn signal(&mut self, signal: Signal, then: Life) -> io::Result<()> {
+    pub fn signal(&mut self, signal: Signal, next_state: ProcessState) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         kill_process(Pid::from_child(child), signal)?;
-        self.life = then;
+        self.state = next_state;
         Ok(())
     }
 
@@ -87,19 +103,20 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.life = Life::Gone;
+        self.state = ProcessState::NotRunning;
     }
 
-    /// Whether it ended without being told to. One that was told before it was `ready` may not have taken the signal up
-    /// yet, and then ends by it.
-    pub fn has_crashed(&mut self, ready: bool) -> Option<String> {
+    /// The exit status of a process that exited unasked or with a failure, else `None`. A process that gets
+    /// SIGTERM before it was `ready` may not handle the signal yet, and is then ended by it: that is no
+    /// failure.
+    pub fn unexpected_exit(&mut self, ready: bool) -> Option<String> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().ok()??;
         self.child = None;
-        let told = self.life == Life::Ending;
-        self.life = Life::Gone;
-        let too_soon = told && !ready && status.signal() == Some(Signal::TERM.as_raw());
-        (!too_soon && (!told || !status.success())).then(|| status.to_string())
+        let terminated = self.state == ProcessState::Terminating;
+        self.state = ProcessState::NotRunning;
+        let ended_by_signal = terminated && !ready && status.signal() == Some(Signal::TERM.as_raw());
+        (!ended_by_signal && (!terminated || !status.success())).then(|| status.to_string())
     }
 }
 
@@ -110,34 +127,34 @@
 }
 
 impl Member {
-    /// Bounds the size of its files, from outside; `None`: no bound.
-    pub fn limit_files(&self, most: Option<u64>) -> io::Result<()> {
+    /// Limits the size of files that the running process may write, in bytes; `None` removes the limit.
+    pub fn limit_file_size(&self, max_bytes: Option<u64>) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
-        let limit = Rlimit { current: most, maximum: None };
+        let limit = Rlimit { current: max_bytes, maximum: None };
         prlimit(Some(Pid::from_child(child)), Resource::Fsize, limit)?;
         Ok(())
     }
 
-    /// The folder of what it stores.
-    pub fn folder(&self) -> PathBuf {
-        self.file.with_extension("state")
+    /// The folder in which the member stores its state.
+    pub fn state_folder(&self) -> PathBuf {
+        self.config_file.with_extension("state")
     }
 
-    /// Begins one more record in the newest file that it stored, and ends in the middle of it.
-    pub fn tear(&self) -> io::Result<()> {
-        let newest = std::fs::read_dir(self.folder())?
+    /// Appends an incomplete record to the newest file of the member's state.
+    pub fn append_torn_record(&self) -> io::Result<()> {
+        let newest = std::fs::read_dir(self.state_folder())?
             .filter_map(|f| f.ok().map(|f| f.path()))
             .filter(|p| p.file_name().and_then(|n| n.to_str()).is_some_and(|n| n.starts_with("records.")))
             .max_by_key(|p| p.extension().and_then(|e| e.to_str()?.parse::<u64>().ok()));
         let Some(path) = newest else { return Ok(()) };
-        // A length of 200 bytes, and some that follow.
+        // A length of 200 bytes, followed by fewer bytes than that.
         File::options().append(true).open(path)?.write_all(&[0, 0, 0, 200, 0, 0, 0, 0, 9, 9, 9])
     }
 
-    /// Keeps a copy of its folder, or puts it back.
-    pub fn copy(&self, back: bool) -> io::Result<()> {
-        let (folder, kept) = (self.folder(), self.file.with_extension("kept"));
-        let (from, to) = if back { (kept, folder) } else { (folder, kept) };
+    /// Copies the state folder aside or, with `restore`, replaces the state folder by that copy.
+    pub fn copy_state(&self, restore: bool) -> io::Result<()> {
+        let (original, copy) = (self.state_folder(), self.config_file.with_extension("kept"));
+        let (from, to) = if restore { (copy, original) } else { (original, copy) };
         let _ = std::fs::remove_dir_all(&to);
         std::fs::create_dir_all(&to)?;
         for entry in std::fs::read_dir(from)? {
@@ -149,8 +166,8 @@
         Ok(())
     }
 
-    /// Its process.
-    pub fn id(&self) -> Option<u32> {
+    /// The id of its process, if there is one.
+    pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 }
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -1,10 +1,11 @@
-//! A drill as it runs: starts, faults in their time, and looks from outside all the while.
+//! Runs a drill: starts the members, injects the faults when they are due, and polls the members all the
+//! while.
 
 use crate::http;
-use crate::process::{free_addresses, Life, Member};
-use crate::relay::{Faults, Relays};
+use crate::process::{free_addresses, Member, ProcessState};
+use crate::relay::{LinkFaults, Relays};
 use crate::report::{Checks, Report, Sample};
-use crate::script::{Fault, Script, What};
+use crate::script::{Fault, FaultKind, Script};
 use crate::sink::Sink;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -19,212 +20,247 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Why a drill could not be held.
+/// Why a drill could not be run.
 #[derive(Debug, Error)]
 pub enum DrillError {
-    /// The system did not allow it.
+    /// A call of the operating system failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// What the drill tried to do, or the path concerned.
         what: String,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
+/// Wraps a system's error with `what` was tried.
+fn system_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> DrillError {
     let what = what.into();
     |source| DrillError::System { what, source }
 }
 
-/// Between two looks at all members.
-const LOOK: Duration = Duration::from_millis(50);
-/// An answer takes no longer than this, on a machine that is busy with the drill itself.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// All that start at once have met within this.
-const MEET: Duration = Duration::from_secs(30);
+/// The pause between two polls of all members.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The time-out of each call to a member; long, since the machine is busy with the drill itself.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The initial members must all see each other within this.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The fleet's key until a fault rotates the keys, as a line of a key file.
 const OLD_KEY: &str = "1 1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b1b";
+/// The key that "rotate-keys" adds.
 const NEW_KEY: &str = "2 2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c2c";
+/// The key of the members in `strangers`.
 const OTHER_KEY: &str = "1 3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d3d";
 
-/// When the duties were asked for, what was told, and when that came.
-type Told = (Duration, Answer, Duration);
-/// Status and body, or why there is none.
-type Answer = Result<(u16, String), String>;
+/// A call of `/duties`: when it was sent, its result, and when that came; times count from the drill's start.
+type DutiesCall = (Duration, CallResult, Duration);
+/// The status and the body of a response, or why there is none.
+type CallResult = Result<(u16, String), String>;
 
 struct Drill<'a> {
     script: &'a Script,
     program: &'a Path,
     folder: &'a Path,
     members: Vec<Member>,
-    /// It has answered a request in this life.
+    /// For each member, whether it has served a round of requests since its last start.
     ready: Vec<bool>,
     relays: Relays,
     nodes: Vec<Node>,
     sink: Sink,
     start: Instant,
     checks: Checks,
-    /// A member's disk takes what it stores, and no link between members is cut.
-    disks: Vec<bool>,
-    whole: bool,
+    /// For each member, whether it can store its state: its disk is not full and its folder was not removed.
+    can_store: Vec<bool>,
+    /// Whether no link between members is cut.
+    links_intact: bool,
 }
 
-/// Holds a drill with this program, in this folder, which is made if it is not there.
+/// Runs a drill of this program. The members' files are written to this folder, which is created if it does
+/// not exist.
 pub fn run(script: &Script, program: &Path, folder: &Path) -> Result<Report, DrillError> {
-    let script = &script.with_drawn();
-    std::fs::create_dir_all(folder).map_err(system(folder.display().to_string()))?;
+    let script = &script.with_drawn_faults();
+    std::fs::create_dir_all(folder).map_err(system_error(folder.display().to_string()))?;
     let nodes: Result<Vec<Node>, _> = (0..script.nodes).map(|_| Node::start()).collect();
-    let nodes = nodes.map_err(system("a stand-in node"))?;
+    let nodes = nodes.map_err(system_error("starting a stand-in node"))?;
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address).collect();
-    // Where the way to a node is broken: connections come up, and nothing comes back.
-    let hole = Node::start().map_err(system("a stand-in node"))?;
-    hole.mode.store(HANGS, Ordering::SeqCst);
-    let sink = Sink::start().map_err(system("a stand-in sink"))?;
+    // Stands for nodes that a member can't reach: connections are accepted, and no response comes back.
+    let unresponsive = Node::start().map_err(system_error("starting a stand-in node"))?;
+    unresponsive.mode.store(NODE_HANGS, Ordering::SeqCst);
+    let sink = Sink::start().map_err(system_error("starting a stand-in sink"))?;
     let mut members = Vec::new();
     for i in 0..script.members {
-        let addresses = free_addresses(i).map_err(system("free addresses"))?;
+        let addresses = free_addresses(i).map_err(system_error("finding free addresses"))?;
         let name = script.named_as.get(&i.to_string()).cloned().unwrap_or_else(|| format!("m{i}"));
         members.push(Member::new(name, addresses, folder.join(format!("m{i}.toml"))));
     }
     let links: Vec<SocketAddr> = members.iter().map(|m| m.link).collect();
-    let faults = Faults {
+    let faults = LinkFaults {
         loss: script.loss,
-        twice: script.twice,
+        duplication: script.twice,
         delay: script.delay.unwrap_or_default(),
         cut: BTreeSet::new(),
         other_version: script.other_version.iter().copied().collect(),
     };
-    let relays = Relays::start(&links, script.seed, faults).map_err(system("relays"))?;
+    let relays = Relays::start(&links, script.seed, faults).map_err(system_error("starting the relays"))?;
     for (i, m) in members.iter().enumerate() {
-        let text = file(script, i, m, &relays.addresses, &addresses, (sink.address, hole.address), folder);
-        std::fs::write(&m.file, text).map_err(system(m.file.display().to_string()))?;
-        // A log of an earlier drill in this folder would speak for this one, and so would what it stored.
-        let _ = std::fs::remove_dir_all(m.folder());
-        let _ = std::fs::remove_file(m.file.with_extension("log"));
+        let text = config_text(
+            script,
+            i,
+            m,
+            &relays.addresses,
+            &addresses,
+            (sink.address, unresponsive.address),
+            folder,
+        );
+        std::fs::write(&m.config_file, text).map_err(system_error(m.config_file.display().to_string()))?;
+        // Logs and stored state of an earlier drill in this folder would be taken for those of this drill.
+        let _ = std::fs::remove_dir_all(m.state_folder());
+        let _ = std::fs::remove_file(m.config_file.with_extension("log"));
     }
     let ready = vec![false; members.len()];
     let checks = Checks::new(script);
     let start = Instant::now();
-    let (disks, whole) = (vec![true; members.len()], true);
-    let drill =
-        Drill { disks, whole, sink, script, program, folder, members, ready, relays, nodes, start, checks };
+    let (can_store, links_intact) = (vec![true; members.len()], true);
+    let drill = Drill {
+        can_store,
+        links_intact,
+        sink,
+        script,
+        program,
+        folder,
+        members,
+        ready,
+        relays,
+        nodes,
+        start,
+        checks,
+    };
     drill.write_keys(&[OLD_KEY])?;
-    drill.hold()
+    drill.execute()
 }
 
-/// A member's file.
-fn file(
-    s: &Script,
-    i: usize,
-    m: &Member,
+/// The text of the configuration file of member `index`.
+fn config_text(
+    script: &Script,
+    index: usize,
+    member: &Member,
     peers: &[SocketAddr],
     nodes: &[SocketAddr],
-    (sink, hole): (SocketAddr, SocketAddr),
+    (sink, unresponsive): (SocketAddr, SocketAddr),
     folder: &Path,
 ) -> String {
-    let unreached = s.blind.get(&i.to_string()).map_or(&[][..], Vec::as_slice);
-    let reached = |n: usize, at: SocketAddr| if unreached.contains(&n) { hole } else { at };
+    let unreached = script.blind.get(&index.to_string()).map_or(&[][..], Vec::as_slice);
+    let reached = |n: usize, address: SocketAddr| if unreached.contains(&n) { unresponsive } else { address };
     let nodes: Vec<String> = nodes
         .iter()
         .copied()
         .enumerate()
-        .map(|(n, at)| (n, reached(n, at)))
-        .map(|(n, a)| format!("{{ name = \"n{n}\", address = \"{a}\" }}"))
+        .map(|(n, address)| (n, reached(n, address)))
+        .map(|(n, address)| format!("{{ name = \"n{n}\", address = \"{address}\" }}"))
         .collect();
     let nodes = nodes.join(", ");
-    let mut text = format!("version = 1\nname = {:?}\n[admin]\naddress = \"{}\"\n", m.name, m.admin);
+    let mut text =
+        format!("version = 1\nname = {:?}\n[admin]\naddress = \"{}\"\n", member.name, member.admin);
     let _ = write!(
         text,
         "[listeners.main]\naddress = \"{}\"\n[classes.any]\nrepeat = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n\
          [pools.web]\nnodes = [{nodes}]\n\
          [[routes]]\nname = \"all\"\npath_prefix = \"/\"\nclass = \"any\"\npool = \"web\"\n",
-        m.listen
+        member.listen
     );
     let seeds: Vec<String> = peers.iter().take(3).map(|a| format!("\"{a}\"")).collect();
-    let zone = if s.zones.is_empty() { "" } else { &s.zones[i % s.zones.len()] };
-    let key = folder.join(key_name(s, i));
+    let zone = if script.zones.is_empty() { "" } else { &script.zones[index % script.zones.len()] };
+    let key = folder.join(key_file_name(script, index));
     let _ = write!(
         text,
         "[fleet]\naddress = \"{}\"\nadvertise = \"{}\"\nzone = {zone:?}\nkey_file = {:?}\n",
-        m.link,
-        peers[i],
+        member.link,
+        peers[index],
         key.display().to_string()
     );
-    if !s.fleet.contains_key("seeds") {
+    if !script.fleet.contains_key("seeds") {
         let _ = writeln!(text, "seeds = [{}]", seeds.join(", "));
     }
-    for (key, value) in &s.fleet {
+    for (key, value) in &script.fleet {
         let _ = writeln!(text, "{key} = {value}");
     }
-    if let Some(d) = &s.duties {
-        let alone = d.alone.contains(&i);
-        let voters = if alone { i..i + 1 } else { 0..d.voters };
+    if let Some(duties) = &script.duties {
+        let alone = duties.alone.contains(&index);
+        let voters = if alone { index..index + 1 } else { 0..duties.voters };
         let voters: Vec<String> = voters.map(|v| format!("m{v}")).collect();
-        let _ = writeln!(text, "[fleet.duties]\nvoters = {voters:?}\nnames = {:?}", d.names);
-        if let Some(lease) = d.lease {
+        let _ = writeln!(text, "[fleet.duties]\nvoters = {voters:?}\nnames = {:?}", duties.names);
+        if let Some(lease) = duties.lease {
             let _ = writeln!(text, "lease = \"{}ms\"", lease.as_millis());
         }
-        if i < d.voters || alone {
-            let _ = writeln!(text, "folder = {:?}", m.folder().display().to_string());
+        if index < duties.voters || alone {
+            let _ = writeln!(text, "folder = {:?}", member.state_folder().display().to_string());
         }
-        if d.export {
+        if duties.export {
             let _ = writeln!(text, "[fleet.duties.export]\naddress = \"{sink}\"\nevery = \"200ms\"");
         }
     }
     text
 }
 
-fn key_name(s: &Script, i: usize) -> &'static str {
-    if s.strangers.contains(&i) {
+fn key_file_name(script: &Script, index: usize) -> &'static str {
+    if script.strangers.contains(&index) {
         "strangers.keys"
     } else {
         "fleet.keys"
     }
 }
 
-const WELL: u8 = 0;
-const HANGS: u8 = 1;
-const FAILS: u8 = 2;
+/// A stand-in node responds to every request at once.
+const NODE_WELL: u8 = 0;
+/// A stand-in node accepts requests and never responds.
+const NODE_HANGS: u8 = 1;
+/// A stand-in node responds 500 to every request.
+const NODE_FAILS: u8 = 2;
 
-/// A stand-in node: it answers every request at once, or, when it is sick, none, or with 500.
+/// A stand-in node: it responds to every request at once or, while it is sick, never or with 500.
 struct Node {
     address: SocketAddr,
+    /// `NODE_WELL`, `NODE_HANGS` or `NODE_FAILS`.
     mode: Arc<AtomicU8>,
-    /// Requests that came while it was sick.
-    sick: Arc<AtomicU64>,
+    /// The number of requests that came while it was sick.
+    requests_while_sick: Arc<AtomicU64>,
 }
 
 impl Node {
     fn start() -> io::Result<Node> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let node = Node { address: listener.local_addr()?, mode: Arc::default(), sick: Arc::default() };
-        let (mode, sick) = (node.mode.clone(), node.sick.clone());
+        let node = Node {
+            address: listener.local_addr()?,
+            mode: Arc::default(),
+            requests_while_sick: Arc::default(),
+        };
+        let (mode, sick) = (node.mode.clone(), node.requests_while_sick.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { continue };
                 let (mode, sick) = (mode.clone(), sick.clone());
-                thread::spawn(move || answer(stream, &mode, &sick));
+                thread::spawn(move || serve_connection(stream, &mode, &sick));
             }
         });
         Ok(node)
     }
 }
 
-fn answer(mut stream: TcpStream, mode: &AtomicU8, sick: &AtomicU64) {
-    let (mut held, mut part) = (Vec::new(), [0; 4096]);
-    while let Ok(n @ 1..) = stream.read(&mut part) {
-        held.extend_from_slice(&part[..n]);
-        while let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            held.drain(..end + 4);
+fn serve_connection(mut stream: TcpStream, mode: &AtomicU8, sick: &AtomicU64) {
+    let (mut unread, mut buffer) = (Vec::new(), [0; 4096]);
+    while let Ok(n @ 1..) = stream.read(&mut buffer) {
+        unread.extend_from_slice(&buffer[..n]);
+        while let Some(end) = unread.windows(4).position(|w| w == b"\r\n\r\n") {
+            unread.drain(..end + 4);
             let now = mode.load(Ordering::SeqCst);
-            sick.fetch_add(u64::from(now != WELL), Ordering::SeqCst);
-            let answer: &[u8] = match now {
-                HANGS => b"",
-                FAILS => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+            sick.fetch_add(u64::from(now != NODE_WELL), Ordering::SeqCst);
+            let response: &[u8] = match now {
+                NODE_HANGS => b"",
+                NODE_FAILS => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                 _ => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             };
-            if stream.write_all(answer).is_err() {
+            if stream.write_all(response).is_err() {
                 return;
             }
         }
@@ -232,34 +268,36 @@
 }
 
 impl Drill<'_> {
+    /// Writes the members' key files, each in one rename, so that no member reads half a file.
     fn write_keys(&self, keys: &[&str]) -> Result<(), DrillError> {
         let write = |name: &str, text: String| {
             let (path, new) = (self.folder.join(name), self.folder.join(format!("{name}.new")));
             std::fs::write(&new, text)
                 .and_then(|()| std::fs::rename(&new, &path))
-                .map_err(system(path.display().to_string()))
+                .map_err(system_error(path.display().to_string()))
         };
         write("fleet.keys", keys.join("\n") + "\n")?;
         write("strangers.keys", format!("{OTHER_KEY}\n"))
     }
 
-    fn start_member(&mut self, i: usize) -> Result<(), DrillError> {
-        self.ready[i] = false;
-        self.checks.lives_anew(i);
-        self.members[i].start(self.program).map_err(system(self.program.display().to_string()))
+    fn start_member(&mut self, member: usize) -> Result<(), DrillError> {
+        self.ready[member] = false;
+        self.checks.forget_life(member);
+        self.members[member].start(self.program).map_err(system_error(self.program.display().to_string()))
     }
 
-    fn hold(mut self) -> Result<Report, DrillError> {
+    /// Runs the drill from the first start to the report.
+    fn execute(mut self) -> Result<Report, DrillError> {
         for i in 0..self.members.len() {
             if !self.script.late.contains(&i) {
                 self.start_member(i)?;
             }
         }
         let begun = Instant::now();
-        while !self.look(false) && begun.elapsed() < MEET {
-            thread::sleep(LOOK);
+        while !self.poll_members(false) && begun.elapsed() < START_TIMEOUT {
+            thread::sleep(POLL_INTERVAL);
         }
-        self.checks.met(begun.elapsed(), MEET);
+        self.checks.check_start(begun.elapsed(), START_TIMEOUT);
         self.start = Instant::now();
         let mut faults: Vec<Fault> = self.script.faults.clone();
         faults.sort_by_key(|f| f.at);
@@ -267,193 +305,201 @@
         while self.start.elapsed() < self.script.time {
             let now = self.start.elapsed();
             while let Some(f) = faults.next_if(|f| f.at <= now) {
-                self.inflict(&f)?;
+                self.inject(&f)?;
             }
-            self.look(true);
-            let votes = |v: usize| self.members[v].life == Life::Runs && self.disks[v];
+            self.poll_members(true);
+            let can_vote = |v: usize| self.members[v].state == ProcessState::Running && self.can_store[v];
             let voters = self.script.duties.as_ref().map_or(0, |d| d.voters);
-            let there = (0..voters).filter(|&v| votes(v)).count();
-            self.checks.gaps(self.start.elapsed(), 2 * there > voters && self.whole);
-            thread::sleep(LOOK);
+            let available = (0..voters).filter(|&v| can_vote(v)).count();
+            self.checks.check_owners(self.start.elapsed(), 2 * available > voters && self.links_intact);
+            thread::sleep(POLL_INTERVAL);
         }
-        let over = Instant::now();
-        let most = self.script.settle.unwrap_or_else(|| self.checks.settles_within());
-        let mut agreed = self.look(true);
-        while !agreed && over.elapsed() < most {
-            thread::sleep(LOOK);
-            agreed = self.look(true);
+        let faults_over = Instant::now();
+        let limit = self.script.settle.unwrap_or_else(|| self.checks.settles_within());
+        let mut agreed = self.poll_members(true);
+        while !agreed && faults_over.elapsed() < limit {
+            thread::sleep(POLL_INTERVAL);
+            agreed = self.poll_members(true);
         }
-        self.checks.settled(agreed, over.elapsed(), most);
-        self.checks.duties_end(self.start.elapsed());
-        let runs = (0..self.members.len()).filter(|&i| self.members[i].life == Life::Runs);
-        self.checks.sink(&self.sink.met(), runs.map(|i| self.members[i].name.clone()).collect());
+        self.checks.check_agreement(agreed, faults_over.elapsed(), limit);
+        self.checks.check_final_owners(self.start.elapsed());
+        let running = (0..self.members.len()).filter(|&i| self.members[i].state == ProcessState::Running);
+        self.checks.check_sink(&self.sink.record(), running.map(|i| self.members[i].name.clone()).collect());
         let logs: Vec<String> = self
             .members
             .iter()
-            .map(|m| std::fs::read_to_string(m.file.with_extension("log")).unwrap_or_default())
+            .map(|m| std::fs::read_to_string(m.config_file.with_extension("log")).unwrap_or_default())
             .collect();
-        self.checks.logs(&logs);
-        self.checks.nodes(self.nodes.iter().map(|n| n.sick.load(Ordering::SeqCst)).collect());
+        self.checks.check_logs(&logs);
+        self.checks.end_node_faults(
+            self.nodes.iter().map(|n| n.requests_while_sick.load(Ordering::SeqCst)).collect(),
+        );
         let (datagrams, bytes) = self.relays.traffic();
-        let costs = self.members.iter().filter_map(Member::cost).collect();
-        Ok(self.checks.report(begun.elapsed(), datagrams, bytes, costs))
+        let usage = self.members.iter().filter_map(Member::resource_usage).collect();
+        Ok(self.checks.report(begun.elapsed(), datagrams, bytes, usage))
     }
 
-    fn inflict(&mut self, f: &Fault) -> Result<(), DrillError> {
-        self.checks.fault(self.start.elapsed(), f);
-        if f.what.of_nodes() {
-            let mode = match f.what {
-                What::HangNodes => HANGS,
-                What::FailNodes => FAILS,
-                _ => WELL,
+    /// Injects one fault, or ends one.
+    fn inject(&mut self, fault: &Fault) -> Result<(), DrillError> {
+        self.checks.record_fault(self.start.elapsed(), fault);
+        if fault.what.concerns_nodes() {
+            let mode = match fault.what {
+                FaultKind::HangNodes => NODE_HANGS,
+                FaultKind::FailNodes => NODE_FAILS,
+                _ => NODE_WELL,
             };
-            f.members.iter().for_each(|&n| self.nodes[n].mode.store(mode, Ordering::SeqCst));
+            fault.members.iter().for_each(|&n| self.nodes[n].mode.store(mode, Ordering::SeqCst));
             return Ok(());
         }
-        for &i in &f.members {
-            match f.what {
-                What::FillDisk | What::RemoveFolder => self.disks[i] = false,
-                What::FreeDisk | What::Start => self.disks[i] = true,
-                What::Cut | What::Split => self.whole = false,
+        for &i in &fault.members {
+            match fault.what {
+                FaultKind::FillDisk | FaultKind::RemoveFolder => self.can_store[i] = false,
+                FaultKind::FreeDisk | FaultKind::Start => self.can_store[i] = true,
+                FaultKind::Cut | FaultKind::Split => self.links_intact = false,
                 _ => {}
             }
-            let m = &mut self.members[i];
-            let done = match f.what {
-                What::Kill => {
-                    m.kill();
+            let member = &mut self.members[i];
+            let result = match fault.what {
+                FaultKind::Kill => {
+                    member.kill();
                     Ok(())
                 }
-                What::Term => m.signal(Signal::TERM, Life::Ending),
-                What::Stop => m.signal(Signal::STOP, Life::Stopped),
-                What::Continue => m.signal(Signal::CONT, Life::Runs),
-                What::Start => {
+                FaultKind::Term => member.signal(Signal::TERM, ProcessState::Terminating),
+                FaultKind::Stop => member.signal(Signal::STOP, ProcessState::Stopped),
+                FaultKind::Continue => member.signal(Signal::CONT, ProcessState::Running),
+                FaultKind::Start => {
                     self.start_member(i)?;
                     Ok(())
                 }
-                What::Cut => {
-                    self.relays.change(|links| links.cut.extend(f.to.iter().map(|&to| (i, to))));
+                FaultKind::Cut => {
+                    self.relays.change(|links| links.cut.extend(fault.to.iter().map(|&to| (i, to))));
                     Ok(())
                 }
-                What::Split => {
-                    let others = (0..self.members.len()).filter(|o| !f.members.contains(o));
+                FaultKind::Split => {
+                    let others = (0..self.members.len()).filter(|o| !fault.members.contains(o));
                     self.relays.change(|links| links.cut.extend(others.flat_map(|o| [(i, o), (o, i)])));
                     Ok(())
                 }
-                What::FillDisk => m.limit_files(Some(0)),
-                What::FreeDisk => m.limit_files(None),
-                What::RemoveFolder => std::fs::remove_dir_all(m.folder()),
-                What::TearFile => m.tear(),
-                What::KeepCopy => m.copy(false),
-                What::RestoreCopy => m.copy(true),
+                FaultKind::FillDisk => member.limit_file_size(Some(0)),
+                FaultKind::FreeDisk => member.limit_file_size(None),
+                FaultKind::RemoveFolder => std::fs::remove_dir_all(member.state_folder()),
+                FaultKind::TearFile => member.append_torn_record(),
+                FaultKind::KeepCopy => member.copy_state(false),
+                FaultKind::RestoreCopy => member.copy_state(true),
                 _ => Ok(()),
             };
-            done.map_err(system(format!("{:?} of member {i}", f.what)))?;
+            result.map_err(system_error(format!("{:?} of member {i}", fault.what)))?;
         }
-        match f.what {
-            What::Heal => {
-                self.whole = true;
+        match fault.what {
+            FaultKind::Heal => {
+                self.links_intact = true;
                 self.relays.change(|links| links.cut.clear());
             }
-            // No member may see what it can't open: first all learn the new key, then all use it.
-            What::RotateKeys => {
+            // No member may get a datagram that it can't authenticate: first all get the new key, then all
+            // use it.
+            FaultKind::RotateKeys => {
                 self.change_keys(&[OLD_KEY, NEW_KEY])?;
                 self.change_keys(&[NEW_KEY, OLD_KEY])?;
             }
-            What::DropOldKey => self.change_keys(&[NEW_KEY])?,
+            FaultKind::DropOldKey => self.change_keys(&[NEW_KEY])?,
             _ => {}
         }
         Ok(())
     }
 
+    /// Gives the running members these keys, of which they use the first.
     fn change_keys(&mut self, keys: &[&str]) -> Result<(), DrillError> {
         self.write_keys(keys)?;
-        for m in self.members.iter_mut().filter(|m| m.life == Life::Runs) {
-            m.signal(Signal::HUP, Life::Runs).map_err(system("SIGHUP"))?;
+        for m in self.members.iter_mut().filter(|m| m.state == ProcessState::Running) {
+            m.signal(Signal::HUP, ProcessState::Running).map_err(system_error("sending SIGHUP"))?;
         }
-        // The signal is taken at once; a log line could tell, but the drill speaks the wire alone.
+        // Members act on the signal at once. Their logs would confirm it, but the drill uses network
+        // interfaces alone.
         thread::sleep(Duration::from_millis(300));
         Ok(())
     }
 
-    /// Asks each member that runs for the fleet as it sees it, and has it serve a request. Whether all agree on who
-    /// runs.
-    fn look(&mut self, started: bool) -> bool {
+    /// Asks each running member for its view of the fleet and of the duties, and sends it requests. Returns
+    /// whether all running members answer, serve, and agree on who runs. Views are checked once the drill has
+    /// `started`.
+    fn poll_members(&mut self, started: bool) -> bool {
         for i in 0..self.members.len() {
-            if let Some(status) = self.members[i].has_crashed(self.ready[i]) {
-                self.checks.crashed(i, &status);
+            if let Some(status) = self.members[i].unexpected_exit(self.ready[i]) {
+                self.checks.record_exit(i, &status);
             }
         }
-        let runs: BTreeSet<usize> =
-            (0..self.members.len()).filter(|&i| self.members[i].life == Life::Runs).collect();
+        let running: BTreeSet<usize> =
+            (0..self.members.len()).filter(|&i| self.members[i].state == ProcessState::Running).collect();
         let at = self.start.elapsed();
-        // Several requests at once: one at a time would meet few of the nodes.
+        // Several requests at once: one at a time would reach few of the nodes.
         let load = self.script.load;
         let has_duties = self.script.duties.is_some();
-        let begun = self.start;
-        let asked: Vec<(usize, Answer, Option<Told>, Vec<Answer>)> = thread::scope(|s| {
-            let calls: Vec<_> = runs
+        let start = self.start;
+        let results: Vec<(usize, CallResult, Option<DutiesCall>, Vec<CallResult>)> = thread::scope(|s| {
+            let calls: Vec<_> = running
                 .iter()
                 .map(|&i| {
                     let (admin, listen) = (self.members[i].admin, self.members[i].listen);
                     let served: Vec<_> =
-                        (0..load).map(|_| s.spawn(move || http::get(listen, "/x", PATIENCE))).collect();
+                        (0..load).map(|_| s.spawn(move || http::get(listen, "/x", CALL_TIMEOUT))).collect();
                     let duties = has_duties.then(|| {
                         s.spawn(move || {
-                            let asked = begun.elapsed();
-                            (asked, http::get(admin, "/duties", PATIENCE), begun.elapsed())
+                            let sent = start.elapsed();
+                            (sent, http::get(admin, "/duties", CALL_TIMEOUT), start.elapsed())
                         })
                     });
-                    (i, s.spawn(move || http::get(admin, "/members", PATIENCE)), duties, served)
+                    (i, s.spawn(move || http::get(admin, "/members", CALL_TIMEOUT)), duties, served)
                 })
                 .collect();
-            let lost = || Err("the asking thread ended".to_string());
+            let panicked = || Err("the thread that made the call panicked".to_string());
             calls
                 .into_iter()
                 .map(|(i, members, duties, served)| {
-                    let served = served.into_iter().map(|c| c.join().unwrap_or_else(|_| lost()));
+                    let served = served.into_iter().map(|c| c.join().unwrap_or_else(|_| panicked()));
                     let duties = duties.and_then(|d| d.join().ok());
-                    (i, members.join().unwrap_or_else(|_| lost()), duties, served.collect())
+                    (i, members.join().unwrap_or_else(|_| panicked()), duties, served.collect())
                 })
                 .collect()
         });
-        let mut all = true;
-        for (i, members, duties, served) in asked {
+        let mut agreed = true;
+        for (i, members, duties, served) in results {
             let blind = self.script.is_blind(i);
             let well = blind || served.iter().all(|s| matches!(s, Ok((200, _))));
             if self.ready[i] && !blind {
-                served.into_iter().for_each(|s| self.checks.served(at, i, s));
+                served.into_iter().for_each(|s| self.checks.check_response(at, i, s));
             }
             self.ready[i] |= well;
-            let told: Option<Value> =
+            let view: Option<Value> =
                 members.ok().filter(|m| m.0 == 200).and_then(|m| serde_json::from_str(&m.1).ok());
-            let Some(told) = told else {
-                all = false;
+            let Some(view) = view else {
+                agreed = false;
                 continue;
             };
-            if let Some((asked, Ok((200, body)), came)) = duties {
-                let told: Value = serde_json::from_str(&body).unwrap_or_default();
-                self.checks.duties(i, asked, came, &told);
+            if let Some((sent, Ok((200, body)), received)) = duties {
+                let duties: Value = serde_json::from_str(&body).unwrap_or_default();
+                self.checks.check_duties(i, sent, received, &duties);
             }
-            let sample = Sample::read(at, i, &told, &self.relays.addresses);
-            let stranger = |m: usize| self.script.is_outside(m);
+            let sample = Sample::from_json(at, i, &view, &self.relays.addresses);
+            let outside = |m: usize| self.script.is_outside(m);
             let expected: BTreeSet<usize> =
-                runs.iter().copied().filter(|&m| m == i || (!stranger(m) && !stranger(i))).collect();
-            all &= sample.alive == expected;
+                running.iter().copied().filter(|&m| m == i || (!outside(m) && !outside(i))).collect();
+            agreed &= sample.alive == expected;
             if started {
-                self.checks.look(sample, &runs);
+                self.checks.check_sample(sample, &running);
             }
         }
-        all && runs.iter().all(|&i| self.ready[i])
+        agreed && running.iter().all(|&i| self.ready[i])
     }
 }
 
 impl Member {
-    /// Processor time in ms and resident memory in KiB, as the system tells them.
-    fn cost(&self) -> Option<(u64, u64)> {
-        let folder = PathBuf::from(format!("/proc/{}", self.id()?));
+    /// The processor time in ms and the resident memory in KiB of its process, from `/proc`.
+    fn resource_usage(&self) -> Option<(u64, u64)> {
+        let folder = PathBuf::from(format!("/proc/{}", self.process_id()?));
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit(") ").next()?.split(' ').collect();
-        // User and system time are fields 14 and 15 of the line, in ticks of 10 ms.
+        // User and system time are fields 14 and 15 of the line, in ticks of 10 ms; the split drops the first
+        // two.
         let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
         let line = status.lines().find(|l| l.starts_with("VmRSS:"))?;
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -1,94 +1,101 @@
-//! What a drill does, as it is written.
+//! The script of a drill, in TOML: its members, its load, its faults and their times.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A drill.
+/// The script of a drill.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// For everything that is drawn.
+    /// Seeds all random draws of the drill. Default: 0.
     #[serde(default)]
     pub seed: u64,
-    /// Processes, numbered from 0. 1 to 200.
+    /// The number of members, each a process; they are numbered from 0. 1 to 200.
     pub members: usize,
-    /// Stand-in nodes that the members balance over. Default: 1.
+    /// The number of stand-in nodes that the members balance over. 1 to 1000; default: 1.
     #[serde(default = "one")]
     pub nodes: usize,
-    /// Requests that each member gets at once, some ten times a second. Default: 1.
+    /// The number of simultaneous requests that each member gets, about ten times a second. 1 to 64; default:
+    /// 1.
     #[serde(default = "one")]
     pub load: usize,
-    /// Zones, given to members in turn.
+    /// The zones, assigned to members in turn.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// For how long faults may come.
+    /// How long the drill runs its faults; no fault may be set later.
     #[serde(with = "humantime_text")]
     pub time: Duration,
-    /// All that run must agree on who is there within this after `time`. Default: what the fleet's times allow.
+    /// After `time`, all running members must agree within this on who is alive. Default: derived from the
+    /// probe period and the suspicion time of `[fleet]`.
     #[serde(default, with = "humantime_option")]
     pub settle: Option<Duration>,
-    /// Keys of `[fleet]` in the members' files, as they are written there.
+    /// Keys of the table `[fleet]`, copied into each member's file.
     #[serde(default)]
     pub fleet: BTreeMap<String, toml::Value>,
-    /// Work that one member does for all: each member's file has it, and checks hold to it.
+    /// The fleet's duties, work that one member owns on behalf of all; written to each member's file and
+    /// checked.
     #[serde(default)]
     pub duties: Option<Duties>,
-    /// Members that start later than the drill: by a fault "start".
+    /// Members that are not started with the drill but by a fault "start".
     #[serde(default)]
     pub late: Vec<usize>,
-    /// Members that hold another key than the rest.
+    /// Members whose fleet key differs from that of the others, and which must therefore stay outside the
+    /// fleet.
     #[serde(default)]
     pub strangers: Vec<usize>,
-    /// Members, by number, that have another's name.
+    /// The names of members, by their number, that get another member's name instead of their own.
     #[serde(default)]
     pub named_as: BTreeMap<String, String>,
-    /// Members, by number, and nodes that they can't reach: a broken link of their own.
+    /// For members, by their number, the nodes that this member alone can't reach.
     #[serde(default)]
     pub blind: BTreeMap<String, Vec<usize>>,
-    /// Members whose datagrams bear another version of the protocol, as an older or newer program's do.
+    /// Members whose datagrams have another protocol version, as those of an older or newer program do.
     #[serde(default)]
     pub other_version: Vec<usize>,
-    /// The `max_age` that checks hold members to, where it is not that of `[fleet]`: one that is shorter has to fail.
+    /// The largest age of a verdict that the checks allow, where it is not `max_age` of `[fleet]`: with a
+    /// shorter one the drill has to fail.
     #[serde(default, with = "humantime_option")]
     pub checked_max_age: Option<Duration>,
-    /// Every link loses this part of its datagrams from the start.
+    /// The share of datagrams that every link loses, from the start. 0 to below 1.
     #[serde(default)]
     pub loss: f64,
-    /// And repeats this part.
+    /// The share of datagrams that every link delivers twice. 0 to below 1.
     #[serde(default)]
     pub twice: f64,
-    /// And delays each by up to this, which has them overtake each other.
+    /// The largest delay of a datagram; delays are random, so that datagrams overtake each other.
     #[serde(default, with = "humantime_option")]
     pub delay: Option<Duration>,
-    /// So many faults of processes, links and disks are drawn by the seed, beside `faults`.
+    /// The number of random faults of processes, links and disks, drawn from the seed in addition to
+    /// `faults`.
     #[serde(default)]
     pub drawn: usize,
-    /// What is done to them.
+    /// The faults, and the ends of faults, in any order.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// The fleet's duties.
+/// The fleet's duties in a drill.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Duties {
-    /// The first so many members are voters: 1, 3, 5 or 7.
+    /// The number of voters, which are the members with the lowest numbers: 1, 3, 5 or 7.
     pub voters: usize,
-    /// Names of duties.
+    /// The names of the duties.
     pub names: Vec<String>,
-    /// Whoever owns the duty "export" tells a stand-in sink five times a second.
+    /// Whether the owner of the duty "export" sends exports to a stand-in sink, five times a second.
     #[serde(default)]
     pub export: bool,
-    /// Members whose files name themselves as the only voter: a wrong configuration, which checks have to show.
+    /// Members whose files name themselves as the only voter: a wrong configuration, which the checks must
+    /// detect.
     #[serde(default)]
     pub alone: Vec<usize>,
-    /// Default: that of the program, 1 s.
+    /// The lease of a duty's owner. Default: that of the program, 1 s.
     #[serde(default, with = "humantime_option")]
     pub lease: Option<Duration>,
-    /// Each duty has an owner that acts within this after a fault, where a majority of voters is there. Default: three
-    /// leases and 4 s, on a machine that is busy with the drill itself.
+    /// The longest time after a fault until each duty has an acting owner again, counted while a majority of
+    /// voters runs. Default: three leases and 4 s, since the machine is busy with the drill itself.
     #[serde(default, with = "humantime_option")]
     pub gap: Option<Duration>,
 }
@@ -97,67 +104,70 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, from the time when all that start at once see each other.
+    /// When it is injected, counted from the time at which the initial members see each other.
     #[serde(with = "humantime_text")]
     pub at: Duration,
-    /// What.
-    pub what: What,
-    /// To whom.
+    /// The kind of fault.
+    pub what: FaultKind,
+    /// The numbers of the members concerned, or of the nodes for a fault of nodes.
     #[serde(default)]
     pub members: Vec<usize>,
-    /// Links to these alone ("cut").
+    /// For "cut" alone: the members to which the links are cut.
     #[serde(default)]
     pub to: Vec<usize>,
 }
 
-/// What a fault is.
+/// The kind of a fault, or of the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// SIGKILL.
+pub enum FaultKind {
+    /// The processes get SIGKILL.
     Kill,
-    /// SIGTERM: the member leaves in good order.
+    /// The processes get SIGTERM: the members leave the fleet in an orderly way.
     Term,
-    /// SIGSTOP.
+    /// The processes are suspended by SIGSTOP.
     Stop,
-    /// SIGCONT.
+    /// The suspended processes are continued by SIGCONT.
     Continue,
-    /// The process is started, anew if it was there.
+    /// The processes are started; one that runs is killed first.
     Start,
-    /// Nothing passes from `members` to `to`; the other direction stays.
+    /// No datagram passes from `members` to `to`; the other direction stays open.
     Cut,
-    /// Nothing passes between `members` and all others.
+    /// No datagram passes between `members` and all other members.
     Split,
-    /// All links are whole again.
+    /// Every cut and split ends.
     Heal,
-    /// All members get a new key first and keep the old one.
+    /// All members get a new key, which they use first, and keep the old one.
     RotateKeys,
-    /// The old key goes.
+    /// All members drop the old key.
     DropOldKey,
-    /// The processes' files can't grow any more, as on a full disk: a limit that is set on them from outside.
+    /// The processes can't write to files any more, as on a full disk, by a limit of the file size set from
+    /// outside.
     FillDisk,
-    /// They can.
+    /// The limit of the file size is removed.
     FreeDisk,
-    /// The folders in which voters store what they promise are removed under the running process.
+    /// The folders in which voters store their votes are removed while the processes run.
     RemoveFolder,
-    /// Of members that are gone: what they stored ends in a record that was cut off in the middle, as by a power cut.
+    /// For members that don't run: their stored state gets an incomplete last record, as after a power
+    /// failure.
     TearFile,
-    /// Of members that are gone: a copy of their folders is kept.
+    /// For members that don't run: their state folders are copied aside.
     KeepCopy,
-    /// Of members that are gone: the copy takes the place of what they stored since.
+    /// For members that don't run: the copies replace the state folders, and with them all that was stored
+    /// since.
     RestoreCopy,
-    /// Nodes take requests and answer none. `members` are nodes.
+    /// Nodes accept requests and never respond. `members` are nodes.
     HangNodes,
-    /// Nodes answer 500 at once. `members` are nodes.
+    /// Nodes respond 500 at once. `members` are nodes.
     FailNodes,
-    /// Nodes are well again. `members` are nodes.
+    /// Nodes respond normally again. `members` are nodes.
     MendNodes,
 }
 
-impl What {
-    /// Whether it befalls nodes.
-    pub fn of_nodes(self) -> bool {
-        matches!(self, What::HangNodes | What::FailNodes | What::MendNodes)
+impl FaultKind {
+    /// Whether the fault concerns nodes and not members.
+    pub fn concerns_nodes(self) -> bool {
+        matches!(self, FaultKind::HangNodes | FaultKind::FailNodes | FaultKind::MendNodes)
     }
 }
 
@@ -165,102 +175,110 @@
     1
 }
 
-/// What is wrong with a script.
+/// Why a script can't be used.
 #[derive(Debug, Error)]
 pub enum ScriptError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{0}")]
     Read(#[from] std::io::Error),
-    /// It is not as it should be written.
+    /// The text is not TOML, or has unknown, missing or mistyped keys.
     #[error("{0}")]
     Form(#[from] toml::de::Error),
-    /// A value is out of range.
+    /// A value is out of range, or contradicts another.
     #[error("{0}")]
     Value(String),
 }
 
 impl Script {
-    /// The script with what is drawn in its place among the faults.
-    pub fn with_drawn(&self) -> Script {
+    /// Returns the script with the random faults drawn and sorted in among the others.
+    pub fn with_drawn_faults(&self) -> Script {
         let mut s = self.clone();
         if s.drawn > 0 {
-            s.faults.extend(crate::draw::faults(self, self.drawn));
+            s.faults.extend(crate::draw::draw_faults(self, self.drawn));
             s.faults.sort_by_key(|f| f.at);
             s.drawn = 0;
         }
         s
     }
 
-    /// Whether a member can't be one of the fleet: it has another key, or speaks another version.
+    /// Whether a member can't join the fleet, since it has another key or another protocol version.
     pub fn is_outside(&self, member: usize) -> bool {
         self.strangers.contains(&member) || self.other_version.contains(&member)
     }
 
-    /// Whether nodes of a member don't answer it.
+    /// Whether a member can't reach some of its nodes.
     pub fn is_blind(&self, member: usize) -> bool {
         self.blind.contains_key(&member.to_string())
     }
 
-    /// Reads a script.
+    /// Reads and checks a script file.
     pub fn load(path: &str) -> Result<Script, ScriptError> {
         Script::parse(&std::fs::read_to_string(path)?)
     }
 
-    /// Checks the text of a script.
+    /// Parses and checks the text of a script.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let s: Script = toml::from_str(text)?;
         s.check()?;
         Ok(s)
     }
 
-    /// Checks what the form alone does not.
+    /// Checks ranges and dependencies of values, which parsing alone does not.
     pub fn check(&self) -> Result<(), ScriptError> {
         let s = self;
-        let wrong = |what: String| Err(ScriptError::Value(what));
+        let invalid = |what: String| Err(ScriptError::Value(what));
         if !(1..=200).contains(&s.members) {
-            return wrong(format!("members: {} is out of range; use 1 to 200", s.members));
+            return invalid(format!("members: {} is out of range; use 1 to 200", s.members));
         }
-        for (key, part) in [("loss", s.loss), ("twice", s.twice)] {
-            if !(0.0..1.0).contains(&part) {
-                return wrong(format!("{key}: {part} is out of range; use 0 to below 1"));
+        for (key, share) in [("loss", s.loss), ("twice", s.twice)] {
+            if !(0.0..1.0).contains(&share) {
+                return invalid(format!("{key}: {share} is out of range; use 0 to below 1"));
             }
         }
         if !(1..=1000).contains(&s.nodes) {
-            return wrong(format!("nodes: {} is out of range; use 1 to 1000", s.nodes));
+            return invalid(format!("nodes: {} is out of range; use 1 to 1000", s.nodes));
         }
         if !(1..=64).contains(&s.load) {
-            return wrong(format!("load: {} is out of range; use 1 to 64", s.load));
+            return invalid(format!("load: {} is out of range; use 1 to 64", s.load));
         }
-        let of_nodes = s.faults.iter().filter(|f| f.what.of_nodes()).flat_map(|f| &f.members);
-        if let Some(i) = of_nodes.chain(s.blind.values().flatten()).find(|&&i| i >= s.nodes) {
-            return wrong(format!("node {i} is named, and there are {}", s.nodes));
+        let fault_nodes = s.faults.iter().filter(|f| f.what.concerns_nodes()).flat_map(|f| &f.members);
+        if let Some(i) = fault_nodes.chain(s.blind.values().flatten()).find(|&&i| i >= s.nodes) {
+            return invalid(format!("node {i} does not exist; there are {}, numbered from 0", s.nodes));
         }
-        let number = |k: &String| k.parse::<usize>().ok().filter(|&i| i < s.members).is_some();
-        if let Some(key) = s.blind.keys().chain(s.named_as.keys()).find(|k| !number(k)) {
-            return wrong(format!("blind, named_as: {key:?} is no member; there are {}", s.members));
+        let is_member_number = |k: &String| k.parse::<usize>().ok().filter(|&i| i < s.members).is_some();
+        if let Some(key) = s.blind.keys().chain(s.named_as.keys()).find(|k| !is_member_number(k)) {
+            return invalid(format!(
+                "blind, named_as: {key:?} is not the number of a member; there are {}",
+                s.members
+            ));
         }
-        let listed = s.late.iter().chain(&s.strangers).chain(&s.other_version);
-        let named = s.faults.iter().filter(|f| !f.what.of_nodes());
-        let named = named.flat_map(|f| f.members.iter().chain(&f.to));
-        if let Some(i) = listed.chain(named).find(|&&i| i >= s.members) {
-            return wrong(format!("member {i} is named, and there are {}", s.members));
+        let listed_members = s.late.iter().chain(&s.strangers).chain(&s.other_version);
+        let fault_members = s.faults.iter().filter(|f| !f.what.concerns_nodes());
+        let fault_members = fault_members.flat_map(|f| f.members.iter().chain(&f.to));
+        if let Some(i) = listed_members.chain(fault_members).find(|&&i| i >= s.members) {
+            return invalid(format!("member {i} does not exist; there are {}, numbered from 0", s.members));
         }
-        if let Some(d) = &s.duties {
-            if !matches!(d.voters, 1 | 3 | 5 | 7) || d.voters > s.members || d.names.is_empty() {
-                return wrong(format!("duties: 1, 3, 5 or 7 voters of {} members, and a name", s.members));
+        if let Some(duties) = &s.duties {
+            if !matches!(duties.voters, 1 | 3 | 5 | 7) || duties.voters > s.members || duties.names.is_empty()
+            {
+                return invalid(format!(
+                    "duties: needs 1, 3, 5 or 7 voters, no more than the {} members, and at least one name",
+                    s.members
+                ));
             }
         }
         for (i, f) in s.faults.iter().enumerate() {
-            let whole = matches!(f.what, What::Heal | What::RotateKeys | What::DropOldKey);
-            if whole != f.members.is_empty() {
-                let what = if whole { "takes no members" } else { "needs members" };
-                return wrong(format!("faults[{i}]: {:?} {what}", f.what));
+            let takes_no_members =
+                matches!(f.what, FaultKind::Heal | FaultKind::RotateKeys | FaultKind::DropOldKey);
+            if takes_no_members != f.members.is_empty() {
+                let requirement = if takes_no_members { "takes no members" } else { "needs members" };
+                return invalid(format!("faults[{i}]: {:?} {requirement}", f.what));
             }
-            if (f.what == What::Cut) == f.to.is_empty() {
-                return wrong(format!("faults[{i}]: to is for \"cut\", which needs it"));
+            if (f.what == FaultKind::Cut) == f.to.is_empty() {
+                return invalid(format!("faults[{i}]: to is allowed for \"cut\" alone, which needs it"));
             }
             if f.at > s.time {
-                return wrong(format!("faults[{i}].at is after time"));
+                return invalid(format!("faults[{i}].at is after time, the end of the drill's faults"));
             }
         }
         Ok(())
--- a/crates/drill/src/script_tests.rs
+++ b/crates/drill/src/script_tests.rs
@@ -1,16 +1,16 @@
-//! Tests of drill scripts: errors in a script are reported.
+//! Tests of drill scripts: errors in a script are reported by the key concerned.
 
 use super::*;
 
 #[test]
-fn what_is_wrong_is_told() {
-    let told = |text: &str| Script::parse(text).err().map(|e| e.to_string()).unwrap_or_default();
-    assert_eq!(told("members = 3\ntime = \"1s\""), "");
-    for (text, part) in [
+fn invalid_scripts_are_refused_with_the_key_concerned() {
+    let error = |text: &str| Script::parse(text).err().map(|e| e.to_string()).unwrap_or_default();
+    assert_eq!(error("members = 3\ntime = \"1s\""), "");
+    for (text, expected) in [
         ("members = 0\ntime = \"1s\"", "members: 0"),
         ("members = 3\ntime = \"soon\"", "time"),
         ("members = 3\ntime = \"1s\"\nloss = 1.5", "loss: 1.5"),
-        ("members = 3\ntime = \"1s\"\nlate = [3]", "member 3 is named"),
+        ("members = 3\ntime = \"1s\"\nlate = [3]", "member 3 does not exist"),
         (
             "members = 3\ntime = \"1s\"\n[[faults]]\nat = \"0s\"\nwhat = \"kill\"",
             "faults[0]: Kill needs members",
@@ -24,6 +24,6 @@
             "faults[0].at is after time",
         ),
     ] {
-        assert!(told(text).contains(part), "{text}: {}", told(text));
+        assert!(error(text).contains(expected), "{text}: {}", error(text));
     }
 }
--- a/crates/drill/src/sink_tests.rs
+++ b/crates/drill/src/sink_tests.rs
@@ -1,19 +1,19 @@
-//! Tests of the sink: late, repeated and conflicting epochs are told apart.
+//! Tests of the sink: outdated, repeated and conflicting exports are counted separately.
 
 use super::*;
 use serde_json::json;
 
-/// The sink's checks have to be able to fail.
+/// Guards against a sink that misses faulty exports, with which the drill's checks could not fail.
 #[test]
-fn what_comes_late_twice_or_from_two_is_told_apart() {
-    let mut met = Met::default();
-    let told =
+fn outdated_repeated_and_conflicting_exports_are_counted_separately() {
+    let mut record = SinkRecord::default();
+    let export =
         |epoch: u64, sequence: u64, life: &str| json!({ "epoch": epoch, "sequence": sequence, "life": life });
-    assert_eq!(met.take(&told(3, 1, "a")), "204 Taken");
-    assert_eq!(met.take(&told(3, 1, "a")), "204 Taken");
-    assert_eq!(met.take(&told(5, 1, "b")), "204 Taken");
-    assert_eq!(met.take(&told(5, 2, "c")), "204 Taken");
-    assert_eq!(met.take(&told(3, 2, "a")), "409 No");
-    assert_eq!(met.take(&json!({})), "400 No");
-    assert_eq!((met.taken, met.refused, met.twice, met.shared), (4, 1, 1, 1));
+    assert_eq!(record.record(&export(3, 1, "a")), "204 Taken");
+    assert_eq!(record.record(&export(3, 1, "a")), "204 Taken");
+    assert_eq!(record.record(&export(5, 1, "b")), "204 Taken");
+    assert_eq!(record.record(&export(5, 2, "c")), "204 Taken");
+    assert_eq!(record.record(&export(3, 2, "a")), "409 No");
+    assert_eq!(record.record(&json!({})), "400 No");
+    assert_eq!((record.accepted, record.refused, record.repeated, record.conflicting), (4, 1, 1, 1));
 }
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -236,7 +236,7 @@
         let folder = self.out.as_ref().unwrap_or(&own);
         let held = garnettally_drill::run(&script, &program, folder).map_err(|e| e.to_string());
         let report = held.and_then(|report| match &self.out {
-            Some(out) => report.keep(out).map(|()| report),
+            Some(out) => report.write_files(out).map(|()| report),
             None => Ok(report),
         });
         if self.out.is_none() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -29,7 +29,7 @@
 const SERVED: &str = "each request is served";
 const INNOCENT: &str = "nobody without a fault is taken for dead";
 const NOTICED: &str = "each death is noticed by all";
-const SIZE: &str = "no size below what is held";
+const SIZE: &str = "no fleet size below its held maximum";
 
 #[test]
 fn a_death_a_leave_a_standstill_and_a_return() {
@@ -89,13 +89,14 @@
 /// Guards against one member with a broken link of its own that moves the others, and an older program beside them.
 #[test]
 fn a_broken_member_and_an_older_one_harm_nobody() {
-    let (one, old) = ("what one broken member says moves nobody", "another version is told apart");
+    let (one, old) =
+        ("no member acts on one broken member's verdicts", "another protocol version is detected");
     drill("broken-member", &[ALWAYS, SERVED, INNOCENT, one, old, "strangers stay outside"]);
 }
 
 const OWNED: [&str; 8] = [
-    "the sink is told at the end",
-    "the sink is told nothing twice",
+    "the sink gets exports until the end",
+    "the sink gets no export twice",
     "no epoch of two lives at the sink",
     "the sink has all members' figures",
     "each duty has an owner again",
