--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -293,7 +293,7 @@
                 let holds = epoch >= *highest || asked <= *when;
                 self.check("no owner acts after a later one").require(holds, || {
                     format!(
-                        "{asked:.2?}: m{member} acts on duty {duty} under epoch {epoch}, after {by} did under {highest}"
+                        "{asked:.2?}: m{member} acts on duty {duty} under epoch {epoch}; {by} acted under {highest}"
                     )
                 });
             }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,13 +1,13 @@
 //! A load generator for HTTP/1.1 services on plain TCP.
 //!
-//! - [`mix`]: what is asked: methods, paths, headers, tenants and keys, by shares.
-//! - [`schedule`]: when: the intended times of an open loop, by phases; no I/O.
-//! - [`answer`]: where an answer ends; no I/O.
+//! - [`mix`]: the requests: methods, paths, headers, tenants and keys, by shares.
+//! - [`schedule`]: the times at which an open loop is meant to send, by phases; no I/O.
+//! - [`answer`]: the parser of responses; no I/O.
 //! - [`run`](mod@run): the connections, on one event loop.
-//! - [`report`]: what came of it.
+//! - [`report`]: the results of a load.
 //!
-//! In an open loop, latency counts from the time at which a request was meant to be sent: a service that stalls does not
-//! get fewer requests, nor better figures (no coordinated omission).
+//! In an open loop, latency counts from the time at which a request was meant to be sent: a service that
+//! stalls does not get fewer requests, and its figures do not improve by the stall (no coordinated omission).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/load/src/mix_tests.rs
+++ b/crates/load/src/mix_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the mix of requests: shares, filled-in templates, and mixes that are refused.
+//! Tests of the mix of requests: shares, placeholders, and mixes that are refused.
 
 use super::*;
 use rand::SeedableRng;
@@ -19,13 +19,13 @@
     "#;
 
 #[test]
-fn requests_follow_their_shares_and_fill_their_places() {
+fn requests_follow_their_shares_and_placeholders_are_filled_in() {
     let mix = Mix::parse(MIX).unwrap();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut kinds, mut north) = ([0; 2], 0);
     for n in 0..4_000 {
         let mut out = Vec::new();
-        let kind = mix.write(n, 7, "h", &mut rng, &mut out);
+        let kind = mix.write_request(n, 7, "h", &mut rng, &mut out);
         kinds[kind] += 1;
         let text = String::from_utf8(out).unwrap();
         if kind == 0 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn mixes_that_make_no_sense_are_refused() {
+fn invalid_mixes_are_refused_with_the_key_concerned() {
     let refused = |from: &str, to: &str| Mix::parse(&MIX.replacen(from, to, 1)).unwrap_err().to_string();
     assert!(refused("path = \"/book\"", "path = \"book\"").starts_with("requests[1]: "));
     assert!(refused("path = \"/book\"", "path = \"/b ook\"").starts_with("requests[1]: "));
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,102 +1,104 @@
-//! What came of a load.
+//! The results of a load.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Percentiles, in milliseconds.
+/// Percentiles of times, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
-    /// The median.
+pub struct Percentiles {
+    /// The 50th percentile, the median.
     pub p50_ms: f64,
-    /// Nine in ten.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// The 99.9th percentile.
     pub p999_ms: f64,
-    /// The longest.
+    /// The longest time.
     pub max_ms: f64,
 }
 
-impl Times {
-    pub(crate) fn of(h: &Histogram<u64>) -> Times {
+impl Percentiles {
+    /// The percentiles of a histogram of microseconds; all 0 if it is empty.
+    pub(crate) fn from_histogram(h: &Histogram<u64>) -> Percentiles {
         if h.is_empty() {
-            return Times::default();
+            return Percentiles::default();
         }
-        let at = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
-        Times {
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
+        let quantile_ms = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
+        Percentiles {
+            p50_ms: quantile_ms(0.5),
+            p90_ms: quantile_ms(0.9),
+            p99_ms: quantile_ms(0.99),
+            p999_ms: quantile_ms(0.999),
             max_ms: h.max() as f64 / 1e3,
         }
     }
 }
 
-/// Figures of a kind of request, or of all.
+/// The outcomes of the requests of one kind, or of all.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Part {
-    /// Its name.
+pub struct Outcomes {
+    /// The name of the kind, or `all`.
     pub name: String,
-    /// Requests that were meant to be sent.
+    /// Requests that the schedule meant to be sent.
     pub meant: u64,
-    /// Answered with 2xx or 3xx.
+    /// Requests with a good response: 2xx or 3xx.
     pub ok: u64,
-    /// Of them, within the kind's aim.
+    /// Requests with a good response within the kind's `aim_ms`.
     pub in_time: u64,
-    /// Answered with 429 or 503.
+    /// Requests that got 429 or 503.
     pub refused: u64,
-    /// Answered with another 4xx.
+    /// Requests that got another 4xx.
     pub rejected: u64,
-    /// Answered with another 5xx.
+    /// Requests that got another status, mostly 5xx.
     pub failed: u64,
-    /// Not answered in time.
+    /// Requests without a complete response within the time-out.
     pub timed_out: u64,
-    /// The connection could not be had, broke, or brought what makes no sense.
+    /// Requests whose connection could not be opened, broke, or brought a malformed response.
     pub broken: u64,
-    /// Never sent: too many were waiting already.
+    /// Requests that were never sent, since the backlog was full.
     pub unsent: u64,
-    /// Times of the good answers, from the intended time of sending.
-    pub latency: Times,
+    /// The times of good responses, from the intended time of sending.
+    pub latency: Percentiles,
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// How long it took, in seconds.
+    /// How long the load took, in seconds.
     pub seconds: f64,
-    /// Good answers a second.
+    /// Good responses per second.
     pub goodput: f64,
-    /// All requests.
-    pub all: Part,
-    /// By kind.
-    pub kinds: Vec<Part>,
-    /// Times of good answers from the moment they were really sent.
-    pub service_time: Times,
-    /// Connections that were opened.
+    /// The outcomes of all requests.
+    pub all: Outcomes,
+    /// The outcomes by kind of request.
+    pub kinds: Vec<Outcomes>,
+    /// The times of good responses, from the time at which the request was actually sent.
+    pub service_time: Percentiles,
+    /// The number of connections that were opened.
     pub connections: u64,
-    /// Answers, or parts of some, that nobody had asked for.
+    /// The number of times that bytes came on a connection without a request waiting for them.
     pub unasked: u64,
-    /// The longest that the generator itself was late to send.
+    /// The longest delay of the generator itself behind its schedule, in milliseconds.
     pub late_ms: f64,
-    /// The generator kept its schedule; else the figures are not those of the load that was meant.
+    /// Whether the generator kept its schedule; otherwise the figures are not those of the intended load.
     pub valid: bool,
 }
 
-/// Late by more than this, the generator was too slow or the machine too busy.
-pub const LATE: Duration = Duration::from_millis(100);
+/// The longest delay behind the schedule in a valid run; beyond it the generator was too slow or the machine
+/// too busy.
+pub const MAX_SCHEDULE_DELAY: Duration = Duration::from_millis(100);
 
 impl Report {
-    /// Whether every request that was sent got one answer, or a time-out or broken connection that says so.
-    pub fn one_answer_each(&self) -> bool {
+    /// Whether every request ended in exactly one way, and no response came without a request.
+    pub fn every_request_ended_once(&self) -> bool {
         let a = &self.all;
-        let ends = a.ok + a.refused + a.rejected + a.failed + a.timed_out + a.broken + a.unsent;
-        self.unasked == 0 && ends == a.meant
+        let outcomes = a.ok + a.refused + a.rejected + a.failed + a.timed_out + a.broken + a.unsent;
+        self.unasked == 0 && outcomes == a.meant
     }
 
-    /// For people.
+    /// The results as text for people.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{:.1} s, {:.1} good answers a second, {} connections\n",
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,8 +1,8 @@
-//! The connections of a load, on one event loop.
+//! Runs a load: sends its requests and reads the responses, on one event loop.
 
-use crate::answer::{self, Answer};
+use crate::answer::{self, Response};
 use crate::mix::Mix;
-use crate::report::{Part, Report, Times, LATE};
+use crate::report::{Outcomes, Percentiles, Report, MAX_SCHEDULE_DELAY};
 use crate::schedule::{Phase, Schedule};
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode as Trigger, PostAction, RegistrationToken};
@@ -17,137 +17,159 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How requests are let go.
+/// When requests are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mode {
-    /// At their intended times, whatever has been answered.
+    /// An open loop: requests are sent at their intended times, whether or not earlier ones have ended.
     Open(Vec<Phase>),
-    /// So many clients, each of which asks again once it is answered, for this long.
+    /// A closed loop: each client sends its next request when the one before has ended.
     Closed {
-        /// The clients.
+        /// The number of clients.
         clients: usize,
-        /// For how long they ask.
+        /// For how long new requests are sent.
         lasts: Duration,
     },
 }
 
-/// A load.
+/// The settings of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where the service answers.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// What the `Host` header says.
+    /// The value of the `Host` header.
     pub host: String,
-    /// What is asked.
+    /// The mix of requests that is sent.
     pub mix: Mix,
-    /// How requests are let go.
+    /// When requests are sent.
     pub mode: Mode,
-    /// The most connections. Requests beyond them wait; they are late, which their latency tells.
+    /// The most connections. Requests beyond them wait, and their latency includes the wait.
     pub connections: usize,
-    /// Requests that may wait for a connection; past them requests count as unsent.
+    /// The most requests that wait for a connection; any beyond count as unsent.
     pub backlog: usize,
-    /// An answer must come within this.
+    /// The time within which a complete response must come.
     pub timeout: Duration,
-    /// For random numbers.
+    /// The seed of the schedule, of the mix, and of ids and keys.
     pub seed: u64,
 }
 
-/// What is going on, once a second.
+/// The progress of a load in the last second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Since the start.
+    /// The time since the start.
     pub elapsed: Duration,
-    /// Requests that were meant to be sent, and good answers, in the last second.
+    /// Requests that were meant to be sent in the last second.
     pub meant: u64,
-    /// Good answers in it.
+    /// Good responses in the last second.
     pub ok: u64,
-    /// Refusals in it.
+    /// Refusals, 429 or 503, in the last second.
     pub refused: u64,
-    /// Other ends in it.
+    /// Other outcomes in the last second.
     pub bad: u64,
-    /// Requests out now.
-    pub out: usize,
-    /// Times of the good answers in it, in milliseconds: the median, and 99 in 100.
+    /// Requests in flight now.
+    pub in_flight: usize,
+    /// The median time of the good responses in the last second, in milliseconds.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// The 99th percentile of these times, in milliseconds.
     pub p99_ms: f64,
 }
 
-struct Flight {
+/// A request in flight.
+struct RequestInFlight {
+    /// The index of its kind in the mix.
     kind: usize,
+    /// When it was meant to be sent.
     meant: Instant,
+    /// When it was sent.
     sent: Instant,
-    bare: bool,
+    /// Whether it is a HEAD request, whose response has no body.
+    is_head: bool,
     number: u64,
 }
 
-struct Conn {
+struct Connection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
+    /// The request in flight or the last one, as bytes, of which the first `written` are sent.
     output: Vec<u8>,
     written: usize,
+    /// Received bytes that belong to no complete response yet.
     input: Vec<u8>,
-    flight: Option<Flight>,
+    request: Option<RequestInFlight>,
 }
 
+/// How a request ended.
 #[derive(Clone, Copy, PartialEq)]
-enum End {
+enum Outcome {
+    /// A complete response with this status came.
     Status(u16),
     TimedOut,
+    /// The connection could not be opened, broke, or brought a malformed response.
     Broken,
+    /// The backlog was full.
     Unsent,
 }
 
-struct State {
+struct LoadRun {
     load: Load,
-    handle: LoopHandle<'static, State>,
-    conns: FxHashMap<u64, Conn>,
+    handle: LoopHandle<'static, LoadRun>,
+    connections: FxHashMap<u64, Connection>,
+    /// The ids of connections without a request in flight.
     idle: Vec<u64>,
+    /// The intended times of requests that wait for a connection.
     backlog: VecDeque<Instant>,
+    /// When requests time out, the earliest first: the time, the connection's id, the request's number.
     deadlines: BinaryHeap<Reverse<(Instant, u64, u64)>>,
     rng: ChaCha8Rng,
-    run: u64,
-    next: u64,
-    number: u64,
-    parts: Vec<(Part, Histogram<u64>)>,
-    all: (Part, Histogram<u64>),
-    service: Histogram<u64>,
+    /// Makes ids and keys differ between runs.
+    run_id: u64,
+    /// The id of the connection opened last.
+    last_connection: u64,
+    /// The number of the request sent last.
+    last_request: u64,
+    /// The outcomes and the latencies in microseconds, by kind.
+    by_kind: Vec<(Outcomes, Histogram<u64>)>,
+    all: (Outcomes, Histogram<u64>),
+    /// The times of good responses from the actual sending, in microseconds.
+    service_times: Histogram<u64>,
     opened: u64,
     unasked: u64,
-    late: Duration,
-    asking: bool,
+    /// The longest delay of the generator behind its schedule.
+    schedule_delay: Duration,
+    /// Whether new requests are still sent.
+    sending: bool,
+    /// The progress and the latencies of the current second.
     second: (Progress, Histogram<u64>),
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 fn histogram() -> Histogram<u64> {
-    // Three significant figures are always allowed.
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are lawful"))
+    // Microseconds up to one hour, with three significant figures: the bounds are always valid.
+    Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are valid"))
 }
 
-/// Carries out a load; `show` is told once a second what is going on, and may end the run early by saying no.
+/// Runs a load. `show` gets the progress once a second; the run ends early if it returns false.
 pub fn run(load: Load, mut show: impl FnMut(&Progress) -> bool) -> io::Result<Report> {
-    let mut events: EventLoop<'static, State> = EventLoop::try_new().map_err(io::Error::other)?;
-    let part = |name: &str| (Part { name: name.into(), ..Part::default() }, histogram());
-    let mut state = State {
+    let mut events: EventLoop<'static, LoadRun> = EventLoop::try_new().map_err(io::Error::other)?;
+    let outcomes = |name: &str| (Outcomes { name: name.into(), ..Outcomes::default() }, histogram());
+    let mut state = LoadRun {
         rng: ChaCha8Rng::seed_from_u64(load.seed),
-        run: load.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32,
-        parts: load.mix.requests.iter().map(|k| part(&k.name)).collect(),
-        all: part("all"),
-        service: histogram(),
+        run_id: load.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32,
+        by_kind: load.mix.requests.iter().map(|k| outcomes(&k.name)).collect(),
+        all: outcomes("all"),
+        service_times: histogram(),
         handle: events.handle(),
-        conns: FxHashMap::default(),
+        connections: FxHashMap::default(),
         idle: Vec::new(),
         backlog: VecDeque::new(),
         deadlines: BinaryHeap::new(),
-        next: 0,
-        number: 0,
+        last_connection: 0,
+        last_request: 0,
         opened: 0,
         unasked: 0,
-        late: Duration::ZERO,
-        asking: true,
+        schedule_delay: Duration::ZERO,
+        sending: true,
         second: (Progress::default(), histogram()),
-        scratch: vec![0; 64 << 10],
+        read_buffer: vec![0; 64 << 10],
         load,
     };
     let start = Instant::now();
@@ -161,45 +183,45 @@
     };
     let mut meant = schedule.as_mut().and_then(Iterator::next).map(|t| start + t);
     if let Mode::Closed { clients, .. } = state.load.mode {
-        (0..clients).for_each(|_| state.ask(start));
+        (0..clients).for_each(|_| state.submit(start));
     }
     let mut tick = start + Duration::from_secs(1);
     loop {
         let now = Instant::now();
-        while let Some(at) = meant.filter(|at| *at <= now && state.asking) {
-            state.late = state.late.max(now.saturating_duration_since(at));
-            state.ask(at);
+        while let Some(at) = meant.filter(|at| *at <= now && state.sending) {
+            state.schedule_delay = state.schedule_delay.max(now.saturating_duration_since(at));
+            state.submit(at);
             meant = schedule.as_mut().and_then(Iterator::next).map(|t| start + t);
         }
         state.expire(now);
         if now >= tick {
             tick += Duration::from_secs(1);
-            let (p, h) = &mut state.second;
-            let t = Times::of(h);
+            let (counts, histogram) = &mut state.second;
+            let times = Percentiles::from_histogram(histogram);
             let progress = Progress {
                 elapsed: now - start,
-                out: state.conns.len() - state.idle.len(),
-                p50_ms: t.p50_ms,
-                p99_ms: t.p99_ms,
-                ..*p
+                in_flight: state.connections.len() - state.idle.len(),
+                p50_ms: times.p50_ms,
+                p99_ms: times.p99_ms,
+                ..*counts
             };
-            (*p, _) = (Progress::default(), h.reset());
+            (*counts, _) = (Progress::default(), histogram.reset());
             if !show(&progress) {
-                state.asking = false;
+                state.sending = false;
             }
         }
         if now >= start + lasts {
-            state.asking = false;
+            state.sending = false;
         }
-        let out = state.conns.len() > state.idle.len() || !state.backlog.is_empty();
-        if !state.asking && !out {
+        let in_flight = state.connections.len() > state.idle.len() || !state.backlog.is_empty();
+        if !state.sending && !in_flight {
             break;
         }
         let wakes = [
-            meant.filter(|_| state.asking),
+            meant.filter(|_| state.sending),
             state.deadlines.peek().map(|d| d.0 .0),
             Some(tick),
-            state.asking.then_some(start + lasts),
+            state.sending.then_some(start + lasts),
         ];
         let wake = wakes.into_iter().flatten().min().map(|at| at.saturating_duration_since(Instant::now()));
         events.dispatch(wake, &mut state).map_err(io::Error::other)?;
@@ -207,27 +229,28 @@
     Ok(state.report(start.elapsed()))
 }
 
-impl State {
-    /// Lets a request go that was meant for this time.
-    fn ask(&mut self, meant: Instant) {
+impl LoadRun {
+    /// Sends a request that was meant for this time, or queues it until a connection is free.
+    fn submit(&mut self, meant: Instant) {
         self.all.0.meant += 1;
         self.second.0.meant += 1;
         if self.backlog.len() >= self.load.backlog {
-            return self.count(None, End::Unsent, meant, meant);
+            return self.count_outcome(None, Outcome::Unsent, meant, meant);
         }
         self.backlog.push_back(meant);
-        self.send_waiting();
+        self.send_backlog();
     }
 
-    fn send_waiting(&mut self) {
+    /// Sends the requests of the backlog on idle or new connections, as far as there are any.
+    fn send_backlog(&mut self) {
         while let Some(&meant) = self.backlog.front() {
             let id = match self.idle.pop() {
                 Some(id) => id,
-                None if self.conns.len() < self.load.connections => match self.connect() {
+                None if self.connections.len() < self.load.connections => match self.connect() {
                     Ok(id) => id,
                     Err(_) => {
                         self.backlog.pop_front();
-                        self.count(None, End::Broken, meant, meant);
+                        self.count_outcome(None, Outcome::Broken, meant, meant);
                         continue;
                     }
                 },
@@ -239,55 +262,62 @@
     }
 
     fn connect(&mut self) -> io::Result<u64> {
-        // Blocking connects would hold up the schedule; on loopback they return at once, and elsewhere the time-out of
-        // the request holds for them too, since its clock runs.
+        // A blocking connect delays the schedule: on loopback it returns at once, and elsewhere the time it
+        // takes counts towards the request's time-out.
         let stream =
             TcpStream::connect_timeout(&self.load.address, self.load.timeout.min(Duration::from_secs(1)))?;
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        self.next += 1;
-        let id = self.next;
+        self.last_connection += 1;
+        let id = self.last_connection;
         let source = Generic::new(stream.clone(), Interest::BOTH, Trigger::Edge);
-        let token = self.handle.insert_source(source, move |_, _, state: &mut State| {
-            state.ready(id);
+        let token = self.handle.insert_source(source, move |_, _, state: &mut LoadRun| {
+            state.connection_ready(id);
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.error))?;
         self.opened += 1;
-        let conn = Conn { stream, token, output: Vec::new(), written: 0, input: Vec::new(), flight: None };
-        self.conns.insert(id, conn);
+        let connection =
+            Connection { stream, token, output: Vec::new(), written: 0, input: Vec::new(), request: None };
+        self.connections.insert(id, connection);
         Ok(id)
     }
 
     fn send(&mut self, id: u64, meant: Instant) {
-        self.number += 1;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.output.clear();
-        conn.written = 0;
-        let kind =
-            self.load.mix.write(self.number, self.run, &self.load.host, &mut self.rng, &mut conn.output);
+        self.last_request += 1;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.output.clear();
+        connection.written = 0;
+        let kind = self.load.mix.write_request(
+            self.last_request,
+            self.run_id,
+            &self.load.host,
+            &mut self.rng,
+            &mut connection.output,
+        );
         let sent = Instant::now();
-        let bare = self.load.mix.requests[kind].method == "HEAD";
-        conn.flight = Some(Flight { kind, meant, sent, bare, number: self.number });
-        self.parts[kind].0.meant += 1;
-        self.deadlines.push(Reverse((meant.max(sent) + self.load.timeout, id, self.number)));
-        // Only written here: reading the answer here too would nest as deep as answers come at once. What breaks is told
-        // by the event loop.
-        let _ = flush(conn);
+        let is_head = self.load.mix.requests[kind].method == "HEAD";
+        connection.request = Some(RequestInFlight { kind, meant, sent, is_head, number: self.last_request });
+        self.by_kind[kind].0.meant += 1;
+        self.deadlines.push(Reverse((meant.max(sent) + self.load.timeout, id, self.last_request)));
+        // The request is only written here: reading the response here too would recurse once for each
+        // response that is there at once. The event loop reports a broken connection.
+        let _ = flush(connection);
     }
 
-    fn ready(&mut self, id: u64) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let mut broken = !flush(conn);
+    /// Handles an event of a connection: writes what is left of its request, and reads.
+    fn connection_ready(&mut self, id: u64) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let mut broken = !flush(connection);
         let mut ended = false;
         loop {
-            match (&*conn.stream).read(&mut self.scratch) {
+            match (&*connection.stream).read(&mut self.read_buffer) {
                 Ok(0) => {
                     ended = true;
                     break;
                 }
-                Ok(n) => conn.input.extend_from_slice(&self.scratch[..n]),
+                Ok(n) => connection.input.extend_from_slice(&self.read_buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
@@ -296,123 +326,137 @@
                 }
             }
         }
-        let Some(flight) = &conn.flight else {
-            // Between requests nothing may come but the end.
-            self.unasked += u64::from(!conn.input.is_empty());
-            if ended || !conn.input.is_empty() {
+        let Some(request) = &connection.request else {
+            // Without a request in flight only the end of the connection may come.
+            self.unasked += u64::from(!connection.input.is_empty());
+            if ended || !connection.input.is_empty() {
                 self.close(id);
             }
             return;
         };
-        match answer::read(&conn.input, ended && !broken, flight.bare) {
-            Ok(Some(a)) if !conn.input.is_empty() => self.answered(id, a, ended),
+        match answer::parse_response(&connection.input, ended && !broken, request.is_head) {
+            Ok(Some(response)) if !connection.input.is_empty() => self.response_received(id, response, ended),
             Ok(_) if !ended && !broken => {}
-            _ => self.end(id, End::Broken, false),
+            _ => self.end_request(id, Outcome::Broken, false),
         }
     }
 
-    fn answered(&mut self, id: u64, a: Answer, ended: bool) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.input.drain(..a.used);
-        // A second answer to one request is what this is to find out.
-        let extra = !conn.input.is_empty();
-        let whole = conn.written == conn.output.len();
+    fn response_received(&mut self, id: u64, response: Response, ended: bool) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.input.drain(..response.length);
+        // Bytes behind the response are a second response to one request, which the generator has to detect.
+        let extra = !connection.input.is_empty();
+        let request_written = connection.written == connection.output.len();
         self.unasked += u64::from(extra);
-        self.end(id, End::Status(a.status), a.keep && !ended && !extra && whole);
+        self.end_request(
+            id,
+            Outcome::Status(response.status),
+            response.keep_alive && !ended && !extra && request_written,
+        );
     }
 
-    /// A request has ended; its connection is kept, or closed.
-    fn end(&mut self, id: u64, end: End, keep: bool) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Some(f) = conn.flight.take() else { return };
-        if keep {
+    /// Ends the request of a connection, which is reused if `keep_alive` and else closed; then sends the next
+    /// one.
+    fn end_request(&mut self, id: u64, outcome: Outcome, keep_alive: bool) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(request) = connection.request.take() else { return };
+        if keep_alive {
             self.idle.push(id);
         } else {
             self.close(id);
         }
-        self.count(Some(f.kind), end, f.meant, f.sent);
-        if self.asking && matches!(self.load.mode, Mode::Closed { .. }) {
-            self.ask(Instant::now());
+        self.count_outcome(Some(request.kind), outcome, request.meant, request.sent);
+        if self.sending && matches!(self.load.mode, Mode::Closed { .. }) {
+            self.submit(Instant::now());
         } else {
-            self.send_waiting();
+            self.send_backlog();
         }
     }
 
     fn close(&mut self, id: u64) {
         self.idle.retain(|&i| i != id);
-        if let Some(conn) = self.conns.remove(&id) {
-            self.handle.remove(conn.token);
+        if let Some(connection) = self.connections.remove(&id) {
+            self.handle.remove(connection.token);
         }
     }
 
-    fn count(&mut self, kind: Option<usize>, end: End, meant: Instant, sent: Instant) {
+    /// Counts the outcome of a request, of which the kind is unknown if it was never written.
+    fn count_outcome(&mut self, kind: Option<usize>, outcome: Outcome, meant: Instant, sent: Instant) {
         let now = Instant::now();
         let micros = |from: Instant| now.saturating_duration_since(from).as_micros().max(1) as u64;
         let aim =
             kind.and_then(|k| self.load.mix.requests[k].aim_ms).map_or(u64::MAX, |ms| (ms * 1e3) as u64);
-        let of_kind = kind.and_then(|k| self.parts.get_mut(k));
-        for (part, times) in std::iter::once(&mut self.all).chain(of_kind) {
-            match end {
-                End::Status(200..=399) => {
-                    part.ok += 1;
-                    part.in_time += u64::from(micros(meant) <= aim);
+        let of_kind = kind.and_then(|k| self.by_kind.get_mut(k));
+        for (outcomes, times) in std::iter::once(&mut self.all).chain(of_kind) {
+            match outcome {
+                Outcome::Status(200..=399) => {
+                    outcomes.ok += 1;
+                    outcomes.in_time += u64::from(micros(meant) <= aim);
                     times.saturating_record(micros(meant));
                 }
-                End::Status(429 | 503) => part.refused += 1,
-                End::Status(400..=499) => part.rejected += 1,
-                End::Status(_) => part.failed += 1,
-                End::TimedOut => part.timed_out += 1,
-                End::Broken => part.broken += 1,
-                End::Unsent => part.unsent += 1,
+                Outcome::Status(429 | 503) => outcomes.refused += 1,
+                Outcome::Status(400..=499) => outcomes.rejected += 1,
+                Outcome::Status(_) => outcomes.failed += 1,
+                Outcome::TimedOut => outcomes.timed_out += 1,
+                Outcome::Broken => outcomes.broken += 1,
+                Outcome::Unsent => outcomes.unsent += 1,
             }
         }
-        let (p, times) = &mut self.second;
-        match end {
-            End::Status(200..=399) => {
-                p.ok += 1;
+        let (progress, times) = &mut self.second;
+        match outcome {
+            Outcome::Status(200..=399) => {
+                progress.ok += 1;
                 times.saturating_record(micros(meant));
-                self.service.saturating_record(micros(sent));
+                self.service_times.saturating_record(micros(sent));
             }
-            End::Status(429 | 503) => p.refused += 1,
-            _ => p.bad += 1,
+            Outcome::Status(429 | 503) => progress.refused += 1,
+            _ => progress.bad += 1,
         }
     }
 
+    /// Ends the requests whose time-out has passed.
     fn expire(&mut self, now: Instant) {
         while let Some(&Reverse((at, id, number))) = self.deadlines.peek() {
             if at > now {
                 return;
             }
             self.deadlines.pop();
-            let out = self.conns.get(&id).and_then(|c| c.flight.as_ref()).is_some_and(|f| f.number == number);
-            if out {
-                self.end(id, End::TimedOut, false);
+            let in_flight = self
+                .connections
+                .get(&id)
+                .and_then(|c| c.request.as_ref())
+                .is_some_and(|r| r.number == number);
+            if in_flight {
+                self.end_request(id, Outcome::TimedOut, false);
             }
         }
     }
 
     fn report(self, took: Duration) -> Report {
-        let done = |(part, times): (Part, Histogram<u64>)| Part { latency: Times::of(&times), ..part };
+        let with_latency = |(outcomes, times): (Outcomes, Histogram<u64>)| Outcomes {
+            latency: Percentiles::from_histogram(&times),
+            ..outcomes
+        };
         let seconds = took.as_secs_f64();
         Report {
             seconds,
             goodput: self.all.0.ok as f64 / seconds.max(1e-9),
-            all: done(self.all),
-            kinds: self.parts.into_iter().map(done).collect(),
-            service_time: Times::of(&self.service),
+            all: with_latency(self.all),
+            kinds: self.by_kind.into_iter().map(with_latency).collect(),
+            service_time: Percentiles::from_histogram(&self.service_times),
             connections: self.opened,
             unasked: self.unasked,
-            late_ms: self.late.as_secs_f64() * 1e3,
-            valid: self.late <= LATE,
+            late_ms: self.schedule_delay.as_secs_f64() * 1e3,
+            valid: self.schedule_delay <= MAX_SCHEDULE_DELAY,
         }
     }
 }
 
-/// Writes what is to be written; false: the connection is broken.
-fn flush(conn: &mut Conn) -> bool {
-    while conn.written < conn.output.len() {
-        match (&*conn.stream).write(&conn.output[conn.written..]) {
-            Ok(n) if n > 0 => conn.written += n,
+/// Writes as much of the request as the socket takes; false: the connection is broken.
+fn flush(connection: &mut Connection) -> bool {
+    while connection.written < connection.output.len() {
+        match (&*connection.stream).write(&connection.output[connection.written..]) {
+            Ok(n) if n > 0 => connection.written += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return e.kind() == ErrorKind::WouldBlock,
             Ok(_) => return false,
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When requests are meant to be sent.
+//! The schedule of an open loop: the times at which requests are meant to be sent.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -6,18 +6,18 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// A stretch of time over which the rate goes evenly from one figure to another.
+/// A time span over which the rate changes linearly from one value to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
-    /// Requests a second at its beginning.
+    /// The rate at the beginning of the phase, in requests per second.
     pub from: f64,
-    /// And at its end.
+    /// The rate at the end of the phase, in requests per second.
     pub to: f64,
-    /// How long it is.
+    /// The length of the phase.
     pub lasts: Duration,
 }
 
-/// The intended times of an open loop: independent arrivals at the rate of the phases.
+/// The intended times of an open loop: independent (Poisson) arrivals at the rates of the phases.
 pub struct Schedule {
     phases: Vec<Phase>,
     rng: ChaCha8Rng,
@@ -26,25 +26,25 @@
 }
 
 impl Schedule {
-    /// The schedule of these phases under a seed.
+    /// Makes the schedule of these phases; `seed` determines all times.
     pub fn new(phases: Vec<Phase>, seed: u64) -> Schedule {
         Schedule { phases, rng: ChaCha8Rng::seed_from_u64(seed), at: 0.0 }
     }
 
-    /// How long all phases are.
+    /// The length of all phases together.
     pub fn lasts(&self) -> Duration {
         self.phases.iter().map(|p| p.lasts).sum()
     }
 
-    /// The rate at a time, and the largest one there is.
+    /// The rate at a time, in seconds from the start; `None` after the last phase.
     fn rate(&self, at: f64) -> Option<f64> {
-        let mut from = 0.0;
+        let mut phase_start = 0.0;
         for p in &self.phases {
             let length = p.lasts.as_secs_f64();
-            if at < from + length {
-                return Some(p.from + (p.to - p.from) * (at - from) / length);
+            if at < phase_start + length {
+                return Some(p.from + (p.to - p.from) * (at - phase_start) / length);
             }
-            from += length;
+            phase_start += length;
         }
         None
     }
@@ -53,19 +53,20 @@
 impl Iterator for Schedule {
     type Item = Duration;
 
-    /// The next intended time from the start; the end of the phases ends it.
+    /// The next intended time, counted from the start; `None` once the phases are over.
     fn next(&mut self) -> Option<Duration> {
-        let most = self.phases.iter().map(|p| p.from.max(p.to)).fold(0.0, f64::max);
-        if most <= 0.0 {
+        let max_rate = self.phases.iter().map(|p| p.from.max(p.to)).fold(0.0, f64::max);
+        if max_rate <= 0.0 {
             return None;
         }
-        // Thinning: arrivals at the largest rate, each kept with the part that the rate of its time is of it.
+        // Thinning: arrivals are drawn at the largest rate, and each is accepted with the probability of the
+        // rate at its time divided by the largest rate.
         loop {
             let gap: f64 = Exp1.sample(&mut self.rng);
-            self.at += gap / most;
+            self.at += gap / max_rate;
             let rate = self.rate(self.at)?;
             let unit = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-            if unit * most < rate {
+            if unit * max_rate < rate {
                 return Some(Duration::from_secs_f64(self.at));
             }
         }
--- a/crates/load/src/schedule_tests.rs
+++ b/crates/load/src/schedule_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn arrivals_follow_the_phases() {
+fn arrivals_follow_the_rates_of_the_phases() {
     let s = Duration::from_secs;
     let phases = vec![
         Phase { from: 0.0, to: 1_000.0, lasts: s(10) },
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against services that misbehave in known ways.
+//! Tests of the load generator against services with known faults.
 
 use garnettally_load::mix::Mix;
 use garnettally_load::run::{run, Load, Mode};
@@ -10,20 +10,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A service that answers the nth request as told; `None`: not at all.
-fn service(answer: impl Fn(u64) -> Option<Vec<u8>> + Send + Sync + 'static) -> SocketAddr {
+/// Starts a service that sends `response(n)` in response to request n, counted from 0; `None`: no response.
+fn service(response: impl Fn(u64) -> Option<Vec<u8>> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (answer, n) = (Arc::new(answer), Arc::new(AtomicU64::new(0)));
+    let (response, n) = (Arc::new(response), Arc::new(AtomicU64::new(0)));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (answer, n) = (answer.clone(), n.clone());
+            let (response, n) = (response.clone(), n.clone());
             thread::spawn(move || {
                 let mut input = BufReader::new(stream.try_clone().unwrap());
                 let (mut output, mut line) = (stream, String::new());
                 while input.read_line(&mut line).is_ok_and(|n| n > 0) {
                     if line == "\r\n" {
-                        if let Some(bytes) = answer(n.fetch_add(1, Ordering::SeqCst)) {
+                        if let Some(bytes) = response(n.fetch_add(1, Ordering::SeqCst)) {
                             if output.write_all(&bytes).is_err() {
                                 return;
                             }
@@ -45,7 +45,7 @@
     Load {
         address,
         host: "test".into(),
-        mix: Mix::plain("/"),
+        mix: Mix::single_get("/"),
         mode,
         connections: 50,
         backlog: 10_000,
@@ -59,20 +59,24 @@
 }
 
 #[test]
-fn every_request_gets_one_answer() {
-    let r = run(load(service(|_| ok()), open(400.0, 1_000)), |_| true).unwrap();
-    assert!(r.one_answer_each() && r.all.ok == r.all.meant, "{}", r.text());
-    assert!((300..500).contains(&r.all.meant), "{}", r.text());
-    let r =
+fn every_request_gets_exactly_one_response() {
+    let report = run(load(service(|_| ok()), open(400.0, 1_000)), |_| true).unwrap();
+    assert!(report.every_request_ended_once() && report.all.ok == report.all.meant, "{}", report.text());
+    assert!((300..500).contains(&report.all.meant), "{}", report.text());
+    let report =
         run(load(service(|_| ok()), Mode::Closed { clients: 5, lasts: Duration::from_millis(300) }), |_| {
             true
         })
         .unwrap();
-    assert!(r.one_answer_each() && r.all.ok == r.all.meant && r.connections == 5, "{}", r.text());
+    assert!(
+        report.every_request_ended_once() && report.all.ok == report.all.meant && report.connections == 5,
+        "{}",
+        report.text()
+    );
 }
 
 #[test]
-fn each_way_to_end_is_counted_as_what_it_is() {
+fn each_outcome_of_a_request_is_counted_separately() {
     let bytes = |text: &str| Some(text.as_bytes().to_vec());
     let address = service(move |n| match n % 6 {
         0 => ok(),
@@ -82,29 +86,30 @@
         4 => bytes("what is this\r\n\r\n"),
         _ => None,
     });
-    let mut l = load(address, open(120.0, 1_000));
-    l.connections = 200;
-    let r = run(l, |_| true).unwrap();
-    assert!(r.one_answer_each(), "{}", r.text());
-    let a = &r.all;
-    for n in [a.ok, a.refused, a.rejected, a.failed, a.broken, a.timed_out] {
-        assert!(n > 0 && n.abs_diff(a.meant / 6) <= 1, "{}", r.text());
+    let mut settings = load(address, open(120.0, 1_000));
+    settings.connections = 200;
+    let report = run(settings, |_| true).unwrap();
+    assert!(report.every_request_ended_once(), "{}", report.text());
+    let all = &report.all;
+    for n in [all.ok, all.refused, all.rejected, all.failed, all.broken, all.timed_out] {
+        assert!(n > 0 && n.abs_diff(all.meant / 6) <= 1, "{}", report.text());
     }
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let r = run(load(nobody, open(100.0, 200)), |_| true).unwrap();
-    assert!(r.one_answer_each() && r.all.broken == r.all.meant, "{}", r.text());
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let report = run(load(unused, open(100.0, 200)), |_| true).unwrap();
+    assert!(report.every_request_ended_once() && report.all.broken == report.all.meant, "{}", report.text());
 }
 
 #[test]
-fn a_second_answer_to_one_request_is_found() {
+fn a_second_response_to_one_request_is_detected() {
     let twice = |n: u64| ok().map(|one| if n == 5 { one.repeat(2) } else { one });
-    let r = run(load(service(twice), open(100.0, 500)), |_| true).unwrap();
-    assert_eq!((r.unasked, r.one_answer_each()), (1, false), "{}", r.text());
+    let report = run(load(service(twice), open(100.0, 500)), |_| true).unwrap();
+    assert_eq!((report.unasked, report.every_request_ended_once()), (1, false), "{}", report.text());
 }
 
-/// A service that stalls once must not look good because it was asked for less meanwhile.
+/// Guards against coordinated omission: a stall of the service must count for all requests that were meant to
+/// be sent during it, and not only for the one that was in flight.
 #[test]
-fn a_stall_counts_for_all_that_were_meant_during_it() {
+fn a_stall_counts_for_all_requests_that_were_meant_to_be_sent_during_it() {
     let start = Instant::now();
     let stall = Duration::from_millis(400)..Duration::from_millis(800);
     let address = service(move |_| {
@@ -114,11 +119,12 @@
         }
         ok()
     });
-    let mut l = load(address, open(200.0, 1_000));
-    (l.connections, l.timeout) = (1, Duration::from_secs(5));
-    let r = run(l, |_| true).unwrap();
-    assert!(r.all.ok == r.all.meant, "{}", r.text());
-    // One request of some 200 met the stall; four in ten were meant during it, and waited for what was left of it.
-    assert!(r.all.latency.p90_ms > 100.0, "{}", r.text());
-    assert!(r.service_time.p90_ms < r.all.latency.p90_ms / 2.0, "{}", r.text());
+    let mut settings = load(address, open(200.0, 1_000));
+    (settings.connections, settings.timeout) = (1, Duration::from_secs(5));
+    let report = run(settings, |_| true).unwrap();
+    assert!(report.all.ok == report.all.meant, "{}", report.text());
+    // One request of about 200 was in flight during the stall; four in ten were meant to be sent during it,
+    // and waited for the rest of it.
+    assert!(report.all.latency.p90_ms > 100.0, "{}", report.text());
+    assert!(report.service_time.p90_ms < report.all.latency.p90_ms / 2.0, "{}", report.text());
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -3,7 +3,7 @@
 use clap::Args;
 use garnettally_emulator::world::{Repeat, World};
 use garnettally_fleet::{Addresses, Snapshot};
-use garnettally_load::mix::{Kind, Mix};
+use garnettally_load::mix::{Mix, RequestKind};
 use garnettally_load::report::Report;
 use garnettally_load::run::{Load, Mode, Progress};
 use garnettally_load::schedule::Phase;
@@ -161,7 +161,7 @@
     let fleet = fleet.join().map_err(|_| "the fleet has panicked")?.map_err(|e| e.to_string())?;
     let _ = std::fs::remove_file(file);
     let report = report.map_err(|e| e.to_string())?;
-    if !report.one_answer_each() {
+    if !report.every_request_ended_once() {
         return Err(format!("not every request got one answer\n{}", report.text()));
     }
     if fleet.sent_to_drained > 0 {
@@ -244,7 +244,7 @@
             headers.insert("Idempotency-Key".to_string(), "{key}".to_string());
         }
         let method = if safe { "GET" } else { "POST" };
-        Kind {
+        RequestKind {
             name: c.name.clone(),
             share: c.share,
             method: method.into(),
@@ -322,7 +322,7 @@
                     fleet.late_ms.max(report.late_ms)
                 ));
             }
-            let worth = |part: fn(&garnettally_load::report::Part) -> u64| {
+            let worth = |part: fn(&garnettally_load::report::Outcomes) -> u64| {
                 let kinds = report.kinds.iter().zip(&world.classes);
                 kinds.map(|(p, c)| part(p) as f64 * c.worth).sum::<f64>()
             };
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -158,7 +158,7 @@
             .next()
             .ok_or_else(|| format!("{named}: no address"))?;
         let mix = match &self.mix {
-            None => Mix::plain(if path.is_empty() { "/" } else { path }),
+            None => Mix::single_get(if path.is_empty() { "/" } else { path }),
             Some(file) => {
                 let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
                 Mix::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?
@@ -182,7 +182,7 @@
         let show = |p: &Progress| {
             if live {
                 eprint!("\r{:>5.0} s  {:>7} meant  {:>7} ok  {:>6} refused  {:>5} bad  {:>5} out  p50 {:>7.1}  p99 {:>7.1} ms ",
-                    p.elapsed.as_secs_f64(), p.meant, p.ok, p.refused, p.bad, p.out, p.p50_ms, p.p99_ms);
+                    p.elapsed.as_secs_f64(), p.meant, p.ok, p.refused, p.bad, p.in_flight, p.p50_ms, p.p99_ms);
             }
             true
         };
@@ -194,7 +194,7 @@
             true => serde_json::to_string_pretty(&report).map_err(|e| e.to_string())? + "\n",
             false => report.text(),
         };
-        match (report.one_answer_each(), report.valid) {
+        match (report.every_request_ended_once(), report.valid) {
             (true, true) => Ok(text),
             (false, _) => Err(format!("not every request got one answer\n{text}")),
             (_, false) => {
