--- a/crates/experiment/src/plan.rs
+++ b/crates/experiment/src/plan.rs
@@ -6,21 +6,26 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// A plan, as it is written.
+/// A plan, as written in its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct PlanFile {
+    /// The version of this format: 1.
     version: u32,
+    /// The name of the experiment.
     name: String,
-    /// Files of worlds, beside the plan.
+    /// The files of the worlds, with paths from the plan's folder.
     worlds: Vec<PathBuf>,
+    /// The policies; the others are compared with the first. Default: all.
     #[serde(default)]
     policies: Vec<Kind>,
+    /// The number of seeds, 1 to 10000. Default: 5.
     #[serde(default = "five")]
     seeds: u64,
+    /// The first seed; the others follow it one by one. Default: 1.
     #[serde(default = "one")]
     first_seed: u64,
-    /// Changes of the worlds; every world runs under every one of them.
+    /// Sets of changes to the worlds; every world runs under every set. Default: the worlds run unchanged.
     #[serde(default)]
     settings: Vec<Setting>,
 }
@@ -32,33 +37,36 @@
     1
 }
 
-/// Changes of a world: dotted keys, array places as numbers, and their values.
+/// A set of changes to a world.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Setting {
+    /// The name of the set, appended to the world's name.
     name: String,
+    /// Values by their dotted keys, in which numbers are array indexes.
     set: BTreeMap<String, toml::Value>,
 }
 
-/// A plan with its worlds read and changed.
+/// A plan with its worlds read and its changes applied.
 pub struct Plan {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What runs: worlds under settings.
-    pub worlds: Vec<Case>,
-    /// The policies; the first is what the others are compared with.
+    /// The worlds, each under each set of changes.
+    pub cases: Vec<Case>,
+    /// The policies; the others are compared with the first.
     pub policies: Vec<Kind>,
-    /// The seeds.
+    /// The seeds with which each case and policy runs.
     pub seeds: Vec<u64>,
 }
 
-/// A world under a setting.
+/// A world under a set of changes.
 pub struct Case {
-    /// The names of both.
+    /// The name of the world, followed by that of the set of changes.
     pub name: String,
-    /// The world.
+    /// The world with the changes applied.
     pub world: World,
-    /// What tells this case from another of the same name in a run before: a hash of its text.
+    /// A hash of the changed world's text. It distinguishes this case from one of the same name in an earlier
+    /// run.
     pub hash: u64,
 }
 
@@ -68,13 +76,13 @@
     /// A file can't be read.
     #[error("{0}: {1}")]
     Read(PathBuf, std::io::Error),
-    /// A file can't be understood.
+    /// A file is not valid: no TOML, or with unknown, missing or wrong keys or values.
     #[error("{0}: {1}")]
     Text(PathBuf, String),
-    /// A value makes no sense.
+    /// A value of the plan is out of range or contradicts another.
     #[error("{key}: {what}")]
     Value {
-        /// The key.
+        /// The key concerned.
         key: String,
         /// What is wrong.
         what: String,
@@ -82,32 +90,32 @@
 }
 
 impl Plan {
-    /// Reads a plan and the worlds that it names, which are looked for beside it.
+    /// Reads a plan and the worlds that it names, whose paths are taken from the plan's folder.
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
         let read = |path: &Path| std::fs::read_to_string(path).map_err(|e| PlanError::Read(path.into(), e));
-        let wrong = |key: &str, what: &str| PlanError::Value { key: key.into(), what: what.into() };
-        let text: Text =
+        let invalid = |key: &str, what: &str| PlanError::Value { key: key.into(), what: what.into() };
+        let plan: PlanFile =
             toml::from_str(&read(path)?).map_err(|e| PlanError::Text(path.into(), e.to_string()))?;
-        if text.version != 1 {
-            return Err(wrong("version", "this program reads 1"));
+        if plan.version != 1 {
+            return Err(invalid("version", "this program reads 1"));
         }
-        if text.worlds.is_empty() || text.seeds == 0 || text.seeds > 10_000 {
-            return Err(wrong("worlds, seeds", "one world at the least, and 1 to 10000 seeds"));
+        if plan.worlds.is_empty() || plan.seeds == 0 || plan.seeds > 10_000 {
+            return Err(invalid("worlds, seeds", "needs at least one world, and 1 to 10000 seeds"));
         }
-        let beside = path.parent().unwrap_or(Path::new("."));
-        let plain = [Setting { name: String::new(), set: BTreeMap::new() }];
-        let settings = if text.settings.is_empty() { &plain[..] } else { &text.settings };
+        let folder = path.parent().unwrap_or(Path::new("."));
+        let unchanged = [Setting { name: String::new(), set: BTreeMap::new() }];
+        let settings = if plan.settings.is_empty() { &unchanged[..] } else { &plan.settings };
         let mut cases = Vec::new();
-        for file in &text.worlds {
-            let file = beside.join(file);
+        for file in &plan.worlds {
+            let file = folder.join(file);
             let source = read(&file)?;
             let table: toml::Table =
                 toml::from_str(&source).map_err(|e| PlanError::Text(file.clone(), e.to_string()))?;
-            for s in settings {
+            for setting in settings {
                 let mut table = toml::Value::Table(table.clone());
-                for (key, value) in &s.set {
-                    set(&mut table, key, value.clone()).map_err(|what| PlanError::Value {
-                        key: format!("settings.{}.{key}", s.name),
+                for (key, value) in &setting.set {
+                    set_value(&mut table, key, value.clone()).map_err(|what| PlanError::Value {
+                        key: format!("settings.{}.{key}", setting.name),
                         what,
                     })?;
                 }
@@ -115,44 +123,44 @@
                 let text =
                     toml::to_string(&table).map_err(|e| PlanError::Text(file.clone(), e.to_string()))?;
                 let world = World::parse(&text).map_err(|e| PlanError::Text(file.clone(), e.to_string()))?;
-                let name = match s.name.is_empty() {
+                let name = match setting.name.is_empty() {
                     true => world.name.clone(),
-                    false => format!("{} {}", world.name, s.name),
+                    false => format!("{} {}", world.name, setting.name),
                 };
                 if cases.iter().any(|c: &Case| c.name == name) {
-                    return Err(wrong("worlds, settings", &format!("two cases are called {name:?}")));
+                    return Err(invalid("worlds, settings", &format!("two cases are called {name:?}")));
                 }
                 cases.push(Case { name, world, hash: xxhash_rust::xxh3::xxh3_64(changed.as_bytes()) });
             }
         }
-        let policies = if text.policies.is_empty() { Kind::ALL.to_vec() } else { text.policies };
-        let seeds = (text.first_seed..text.first_seed + text.seeds).collect();
-        Ok(Plan { name: text.name, worlds: cases, policies, seeds })
+        let policies = if plan.policies.is_empty() { Kind::ALL.to_vec() } else { plan.policies };
+        let seeds = (plan.first_seed..plan.first_seed + plan.seeds).collect();
+        Ok(Plan { name: plan.name, cases, policies, seeds })
     }
 }
 
-/// Sets the value at a dotted key; the key's last name may be new, what leads to it may not.
-fn set(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
-    let mut here = root;
-    let steps: Vec<&str> = key.split('.').collect();
-    let (last, before) = steps.split_last().ok_or("no key")?;
-    for step in before {
-        here = match here {
-            toml::Value::Table(t) => t.get_mut(*step).ok_or(format!("the world has no {step}"))?,
+/// Sets the value at a dotted key. The last part of the key may be new; the parts before must exist.
+fn set_value(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
+    let mut parent = root;
+    let parts: Vec<&str> = key.split('.').collect();
+    let (last, before) = parts.split_last().ok_or("the key is empty")?;
+    for part in before {
+        parent = match parent {
+            toml::Value::Table(t) => t.get_mut(*part).ok_or(format!("the world has no {part}"))?,
             toml::Value::Array(a) => {
-                let at: usize = step.parse().map_err(|_| format!("{step} is no place of an array"))?;
-                a.get_mut(at).ok_or(format!("there is no place {at}"))?
+                let index: usize = part.parse().map_err(|_| format!("{part} is not an array index"))?;
+                a.get_mut(index).ok_or(format!("the array has no index {index}"))?
             }
-            _ => return Err(format!("{step} lies within a plain value")),
+            _ => return Err(format!("{part} lies within a value that is no table or array")),
         };
     }
-    match here {
+    match parent {
         toml::Value::Table(t) => drop(t.insert(last.to_string(), value)),
         toml::Value::Array(a) => {
-            let at: usize = last.parse().map_err(|_| format!("{last} is no place of an array"))?;
-            *a.get_mut(at).ok_or(format!("there is no place {at}"))? = value;
+            let index: usize = last.parse().map_err(|_| format!("{last} is not an array index"))?;
+            *a.get_mut(index).ok_or(format!("the array has no index {index}"))? = value;
         }
-        _ => return Err(format!("{last} lies within a plain value")),
+        _ => return Err(format!("{last} lies within a value that is no table or array")),
     }
     Ok(())
 }
--- a/crates/experiment/src/publish.rs
+++ b/crates/experiment/src/publish.rs
@@ -1,4 +1,5 @@
-//! What came of an experiment, for people and for other programs: CSV, a Markdown table, and charts in one HTML page.
+//! The results of an experiment, for people and for other programs: CSV, a Markdown table, and charts in one
+//! HTML page.
 
 use crate::plan::Plan;
 use crate::run::Row;
@@ -23,8 +24,9 @@
     Ok(())
 }
 
-fn shown(m: &Mean) -> String {
-    let places = if m.mean.abs() >= 100.0 {
+/// A mean with its interval as text, with fewer decimal places the larger it is.
+fn format_mean(m: &Mean) -> String {
+    let decimals = if m.mean.abs() >= 100.0 {
         0
     } else if m.mean.abs() >= 10.0 {
         1
@@ -32,12 +34,13 @@
         3
     };
     match m.half.is_finite() {
-        true => format!("{:.places$} ± {:.places$}", m.mean, m.half),
-        false => format!("{:.places$}", m.mean),
+        true => format!("{:.decimals$} ± {:.decimals$}", m.mean, m.half),
+        false => format!("{:.decimals$}", m.mean),
     }
 }
 
-/// A table for each case: policies down, figures across, and how service differs from the first policy's.
+/// A table for each case: a row per policy, a column per figure, and the difference of service from the first
+/// policy's.
 pub fn markdown(plan: &Plan, rows: &[Row]) -> String {
     let mut out = format!("# {}\n\n", plan.name);
     let first = plan.policies[0];
@@ -50,22 +53,22 @@
         plan.seeds.last().unwrap_or(&0),
         first.name()
     );
-    for case in &plan.worlds {
+    for case in &plan.cases {
         let _ = writeln!(out, "## {}\n", case.name);
         let heads: Vec<&str> = FIGURES.iter().map(|f| f.name).collect();
         let _ = writeln!(out, "| policy | {} | rules broken | service, difference |", heads.join(" | "));
         let _ = writeln!(out, "| --- | {} --- | --- |", "--- | ".repeat(FIGURES.len()));
         for &policy in &plan.policies {
             let cells: Vec<String> =
-                FIGURES.iter().map(|f| shown(&mean(rows, &case.name, policy, f))).collect();
-            let mine = rows.iter().filter(|r| r.case == case.name && r.policy == policy);
-            let broken: u64 = mine.map(|r| r.broken).sum();
+                FIGURES.iter().map(|f| format_mean(&mean(rows, &case.name, policy, f))).collect();
+            let matching = rows.iter().filter(|r| r.case == case.name && r.policy == policy);
+            let broken: u64 = matching.map(|r| r.broken).sum();
             let difference = match policy == first {
                 true => "".to_string(),
                 false => {
                     let d = paired(rows, &case.name, policy, first, &FIGURES[0]);
                     let text = format!("{:+.3} ± {:.3}", d.mean, d.half);
-                    if d.is_sure() {
+                    if d.excludes_zero() {
                         format!("**{text}**")
                     } else {
                         text
@@ -79,7 +82,7 @@
     out
 }
 
-/// References are marked as such wherever they are told.
+/// The policy's name as shown in tables; policies other than the module are marked as references.
 fn label(policy: Kind) -> String {
     match policy {
         Kind::Module => "module".into(),
@@ -87,11 +90,12 @@
     }
 }
 
+/// The page with a chart for each figure and case.
 fn html(plan: &Plan, rows: &[Row]) -> io::Result<String> {
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{0}</title><style>body{{font:15px \
          sans-serif;max-width:1000px;margin:2em auto}}svg{{width:100%;height:auto}}</style></head><body><h1>{0}</h1>\n",
-        escape(&plan.name)
+        escape_html(&plan.name)
     );
     let _ = writeln!(
         page,
@@ -101,7 +105,7 @@
     for figure in &FIGURES {
         let side = if figure.more_is_better { "more is better" } else { "less is better" };
         let _ = writeln!(page, "<h2>{} ({side})</h2>", figure.name);
-        for case in &plan.worlds {
+        for case in &plan.cases {
             page += &chart(plan, rows, &case.name, figure)
                 .map_err(|e| io::Error::other(format!("a chart could not be drawn: {e}")))?;
         }
@@ -110,11 +114,12 @@
     Ok(page)
 }
 
-fn escape(text: &str) -> String {
+/// Escapes text for HTML.
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;")
 }
 
-/// Bars with intervals for the policies of a case, as SVG.
+/// Draws a figure of a case as an SVG: a bar with its confidence interval for each policy.
 fn chart(
     plan: &Plan,
     rows: &[Row],
--- a/crates/experiment/src/stats_tests.rs
+++ b/crates/experiment/src/stats_tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 #[test]
-fn intervals_are_those_of_the_tables() {
+fn confidence_intervals_match_tables_of_students_t() {
     // t for 4 degrees of freedom and 95%: 2.776; deviation of 1..5: 1.5811.
-    let m = Mean::of(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+    let m = Mean::from_values(&[1.0, 2.0, 3.0, 4.0, 5.0]);
     assert_eq!(m.mean, 3.0);
     assert!((m.half - 2.776_445 * 1.581_139 / 5f64.sqrt()).abs() < 1e-4, "{}", m.half);
-    assert!(Mean::of(&[7.0]).half.is_infinite() && !Mean::of(&[7.0]).is_sure());
-    assert!(Mean::of(&[1.0, 1.0, 1.1]).is_sure());
+    assert!(Mean::from_values(&[7.0]).half.is_infinite() && !Mean::from_values(&[7.0]).excludes_zero());
+    assert!(Mean::from_values(&[1.0, 1.0, 1.1]).excludes_zero());
 }
 
 #[test]
-fn differences_pair_the_seeds() {
+fn differences_are_taken_between_rows_of_the_same_seed() {
     let row = |policy, seed, service| Row {
         case: "c".into(),
         hash: 0,
--- a/crates/fleet/src/nodes.rs
+++ b/crates/fleet/src/nodes.rs
@@ -1,6 +1,7 @@
-//! The nodes: requests in, work done by the emulator's node, answers out; and what goes wrong with them.
+//! The nodes: they read requests, have the emulator's nodes do the work, send responses, and get the world's
+//! faults.
 
-use crate::{Addresses, Due, Fleet, NodeView};
+use crate::{Addresses, Event, Fleet, NodeView};
 use garnettally_emulator::draw::Stream;
 use garnettally_emulator::node::{Brought, Build, Node, Thrash};
 use garnettally_emulator::world::{Repeat, What};
@@ -8,39 +9,57 @@
 use httparse::Status;
 use std::net::SocketAddr;
 
-const STEPS_TO_WARM: i64 = 16;
-/// A send may come so long after a drain was told.
+/// The number of steps in which a node that was restarted reaches its full speed.
+const WARM_UP_STEPS: i64 = 16;
+/// New requests may reach a draining node until this long after its draining was written to every watch.
 const DRAIN_GRACE: Micros = Micros(500_000);
 
-/// A node and what befalls it.
-pub(crate) struct Place {
+/// Idempotency keys beyond this number have those removed whose window has passed for every class.
+const MAX_KEYS: usize = 1 << 18;
+
+/// An emulated node on a socket, with the faults that it has.
+pub(crate) struct HostedNode {
     pub name: String,
     pub address: SocketAddr,
+    /// The index of its zone in the world's list.
     pub zone: usize,
+    /// The number of its cell; idempotency keys are known within a cell.
     pub cell: usize,
-    pub node: Node,
+    /// The emulator's node, which does the work.
+    pub emulated: Node,
+    /// Counts the changes of when its next job ends; events of an older version are void.
     pub version: u64,
+    /// The number of its open connections.
     pub connections: usize,
+    /// When it was started last, in milliseconds of Unix time; 0: before the run.
     pub since_ms: u64,
-    /// When its draining was written to every watch.
-    pub told_drained: Option<Micros>,
+    /// When its draining, or its removal, was written to every watch.
+    pub drain_published: Option<Micros>,
+    /// The number of responses that it has sent.
     answered: u64,
+    /// When it was restarted, until it has warmed up.
     cold_from: Option<Micros>,
-    slow: f64,
+    /// The factor by which it is slower than usual.
+    slowdown: f64,
     hung: bool,
     stopped: bool,
     draining: bool,
+    /// The probability that a request gets 500 at once.
     fast_errors: f64,
-    spoilt: f64,
+    /// The probability that a response is malformed.
+    malformed: f64,
+    /// The load that it reports: when that was read, and the number of requests.
     report: (Micros, usize),
 }
 
-impl Place {
-    pub fn takes_connections(&self, most: usize) -> bool {
-        !self.stopped && self.connections < most
+impl HostedNode {
+    /// Whether it accepts one more connection, if `max` may be open.
+    pub fn accepts_connections(&self, max: usize) -> bool {
+        !self.stopped && self.connections < max
     }
 
-    pub fn listed(&self) -> ListedState {
+    /// Its state in discovery's list.
+    pub fn listed_state(&self) -> ListedState {
         match (self.stopped, self.draining) {
             (true, _) => ListedState::Removed,
             (_, true) => ListedState::Draining,
@@ -49,30 +68,35 @@
     }
 
     pub fn view(&self) -> NodeView {
-        let state = match self.listed() {
+        let state = match self.listed_state() {
             ListedState::Removed => "gone",
             ListedState::Draining => "draining",
             ListedState::Ready if self.hung => "hung",
-            ListedState::Ready if self.fast_errors + self.spoilt > 0.0 => "failing",
-            ListedState::Ready if self.slow > 1.0 => "slow",
+            ListedState::Ready if self.fast_errors + self.malformed > 0.0 => "failing",
+            ListedState::Ready if self.slowdown > 1.0 => "slow",
             ListedState::Ready => "ready",
         };
-        NodeView { name: self.name.clone(), held: self.node.held(), answered: self.answered, state }
+        NodeView { name: self.name.clone(), held: self.emulated.held(), answered: self.answered, state }
     }
 }
 
-/// A request, as far as a node looks into it.
-struct Asked {
-    used: usize,
+/// The parts of a request that a node uses.
+struct NodeRequest {
+    /// The length of the request in bytes, with its body.
+    length: usize,
+    /// The index of its class, which the first segment of its path names.
     class: usize,
+    /// The value of `Req-Id`.
     id: String,
+    /// The value of `Idempotency-Key`.
     key: Option<String>,
+    /// The work from `Req-Cost`.
     cost: Option<f64>,
-    head: bool,
+    is_head: bool,
 }
 
-/// The request at the start of `input`: `Err`: it makes no sense; `None`: it is not whole.
-fn asked(input: &[u8], names: &[String]) -> Result<Option<Asked>, ()> {
+/// Returns the request at the start of `input`, or `None` while it is incomplete; `Err`: it is malformed.
+fn parse_request(input: &[u8], class_names: &[String]) -> Result<Option<NodeRequest>, ()> {
     let mut space = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut space);
     let n = match head.parse(input) {
@@ -87,296 +111,320 @@
     if header("transfer-encoding").is_some() {
         return Err(());
     }
-    let length: usize = header("content-length").map_or(Ok(0), str::parse).map_err(|_| ())?;
-    if input.len() < n.saturating_add(length) {
+    let body_length: usize = header("content-length").map_or(Ok(0), str::parse).map_err(|_| ())?;
+    if input.len() < n.saturating_add(body_length) {
         return Ok(None);
     }
     let first = head.path.unwrap_or("/").trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
-    Ok(Some(Asked {
-        used: n + length,
-        class: names.iter().position(|c| c == first).unwrap_or(0),
+    Ok(Some(NodeRequest {
+        length: n + body_length,
+        class: class_names.iter().position(|c| c == first).unwrap_or(0),
         id: header("req-id").unwrap_or("").to_string(),
         key: header("idempotency-key").map(str::to_string),
         cost: header("req-cost").and_then(|c| c.parse::<f64>().ok()).filter(|c| (0.0..1e9).contains(c)),
-        head: head.method == Some("HEAD"),
+        is_head: head.method == Some("HEAD"),
     }))
 }
 
 impl Fleet {
-    pub(crate) fn build(&mut self, seed: u64, addresses: &Addresses) {
-        let mut s = Stream::new(seed, "nodes", 0);
+    /// Makes the nodes of the first tier, and schedules the world's faults.
+    pub(crate) fn build_nodes(&mut self, seed: u64, addresses: &Addresses) {
+        let mut draws = Stream::new(seed, "nodes", 0);
         let tier = self.world.tiers[0].clone();
         let zones = self.world.zones.len();
         for (i, &address) in addresses.nodes.iter().enumerate() {
-            let thrash = tier.thrash.as_ref().map(|t| Thrash {
-                above: t.above,
-                after: t.after.0,
-                factor: t.factor.draw(&mut s),
-                calm: t.calm.0,
+            let thrash = tier.thrash.as_ref().map(|thrash| Thrash {
+                above: thrash.above,
+                after: thrash.after.0,
+                factor: thrash.factor.draw(&mut draws),
+                calm: thrash.calm.0,
             });
             let build = Build {
-                cores: tier.cores.draw(&mut s),
-                speed: tier.speed.draw(&mut s),
+                cores: tier.cores.draw(&mut draws),
+                speed: tier.speed.draw(&mut draws),
                 slots: tier.slots,
                 queue: tier.queue,
                 cancel_stops: tier.cancel_stops,
                 thrash,
             };
-            self.places.push(Place {
+            self.nodes.push(HostedNode {
                 name: format!("{}-{i}", tier.name),
                 address,
                 zone: i % zones,
                 cell: i / zones / tier.cell * zones + i % zones,
-                node: Node::new(build, Micros(0)),
+                emulated: Node::new(build, Micros(0)),
                 version: 0,
                 connections: 0,
                 since_ms: 0,
-                told_drained: None,
+                drain_published: None,
                 answered: 0,
                 cold_from: None,
-                slow: 1.0,
+                slowdown: 1.0,
                 hung: false,
                 stopped: false,
                 draining: false,
                 fast_errors: 0.0,
-                spoilt: 0.0,
+                malformed: 0.0,
                 report: (Micros(-1), 0),
             });
         }
-        let mut s = Stream::new(seed, "faults", 0);
-        for (i, f) in self.world.faults.clone().iter().enumerate() {
-            let at = f.at.draw(&mut s);
-            let end = at + f.lasts.draw(&mut s);
-            let n = ((f.share.draw(&mut s) * tier.nodes as f64).round() as usize).max(1);
-            let nodes = s.some(n, tier.nodes);
-            let size = match &f.what {
-                What::Slow(b) | What::Burst(b) | What::FastErrors(b) | What::Spoilt(b) => b.draw(&mut s),
-                What::LateReports(b) => b.draw(&mut s).0 as f64,
+        let mut draws = Stream::new(seed, "faults", 0);
+        for (i, fault) in self.world.faults.clone().iter().enumerate() {
+            let at = fault.at.draw(&mut draws);
+            let end = at + fault.lasts.draw(&mut draws);
+            let count = ((fault.share.draw(&mut draws) * tier.nodes as f64).round() as usize).max(1);
+            let nodes = draws.some(count, tier.nodes);
+            let size = match &fault.what {
+                What::Slow(size) | What::Burst(size) | What::FastErrors(size) | What::Spoilt(size) => {
+                    size.draw(&mut draws)
+                }
+                What::LateReports(size) => size.draw(&mut draws).0 as f64,
                 _ => 0.0,
             };
             self.faults.push((false, nodes, size));
-            // Later tiers are not played, nor are the faults in them.
-            if self.world.tier_of(f) == 0 {
-                self.ask(at, Due::Fault(i, true));
-                self.ask(end, Due::Fault(i, false));
+            // Later tiers are not emulated here, nor are the faults in them.
+            if self.world.tier_of(fault) == 0 {
+                self.schedule(at, Event::Fault(i, true));
+                self.schedule(end, Event::Fault(i, false));
             }
         }
-        self.ask(Micros(2_000_000), Due::Ping);
+        self.schedule(Micros(2_000_000), Event::PingWatches);
     }
 
-    /// Takes the request that a node's connection has brought, one at a time.
-    pub(crate) fn node_input(&mut self, id: u64, n: usize) {
-        while self.take_one(id, n) {}
+    /// Processes the requests that have come on a node's connection, one at a time.
+    pub(crate) fn node_input(&mut self, id: u64, index: usize) {
+        while self.process_request(id, index) {}
     }
 
-    /// True: it was answered at once, and another may wait behind it.
-    fn take_one(&mut self, id: u64, n: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&id) else { return false };
-        if conn.job.is_some() || conn.input.is_empty() {
+    /// Processes the next request of a connection. Returns true if it was answered at once, so that another
+    /// may follow.
+    fn process_request(&mut self, id: u64, index: usize) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        if connection.job.is_some() || connection.input.is_empty() {
             return false;
         }
-        let a = match asked(&conn.input, &self.names) {
-            Ok(Some(a)) => a,
+        let request = match parse_request(&connection.input, &self.class_names) {
+            Ok(Some(request)) => request,
             Ok(None) => return false,
             Err(()) => {
                 self.close(id);
                 return false;
             }
         };
-        conn.input.drain(..a.used);
+        connection.input.drain(..request.length);
         let now = self.now();
-        self.number += 1;
-        let job = self.number;
-        if self.places[n].told_drained.is_some_and(|told| now - told > DRAIN_GRACE) {
-            self.drained += 1;
+        self.last_number += 1;
+        let job = self.last_number;
+        if self.nodes[index].drain_published.is_some_and(|published| now - published > DRAIN_GRACE) {
+            self.sent_to_drained += 1;
         }
-        let class = &self.world.classes[a.class];
-        let p = &mut self.places[n];
-        if p.draining || p.stopped {
-            self.reply(id, n, 503, "Srv-Declined: 1\r\n", &a.id, a.head);
+        let class = &self.world.classes[request.class];
+        let node = &mut self.nodes[index];
+        if node.draining || node.stopped {
+            self.respond(id, index, 503, "Srv-Declined: 1\r\n", &request.id, request.is_head);
             return true;
         }
-        if self.errors.chance(p.fast_errors) {
-            self.reply(id, n, 500, "", &a.id, a.head);
+        if self.errors.chance(node.fast_errors) {
+            self.respond(id, index, 500, "", &request.id, request.is_head);
             return true;
         }
         let keyed = class.repeat == Repeat::Keyed;
-        if let Some(key) = a.key.clone().filter(|_| keyed) {
-            let cell = p.cell;
-            if self.keys.get(&(cell, key.clone())).is_some_and(|at| now - *at < class.window.0) {
-                self.reply(id, n, 200, "", &a.id, a.head);
+        if let Some(key) = request.key.clone().filter(|_| keyed) {
+            let cell = node.cell;
+            if self.idempotency_keys.get(&(cell, key.clone())).is_some_and(|at| now - *at < class.window.0) {
+                self.respond(id, index, 200, "", &request.id, request.is_head);
                 return true;
             }
-            self.keys.insert((cell, key), now);
-            if self.keys.len() > 1 << 18 {
+            self.idempotency_keys.insert((cell, key), now);
+            if self.idempotency_keys.len() > MAX_KEYS {
                 let longest = self.world.classes.iter().map(|c| c.window.0).max().unwrap_or_default();
-                self.keys.retain(|_, at| now - *at < longest);
+                self.idempotency_keys.retain(|_, at| now - *at < longest);
             }
         }
-        let mean = self.world.work(a.class, 0);
-        let work = a.cost.unwrap_or_else(|| self.world.classes[a.class].shape.draw(mean, &mut self.work));
-        match self.places[n].node.bring(now, job, work) {
+        let mean = self.world.work(request.class, 0);
+        let work = request
+            .cost
+            .unwrap_or_else(|| self.world.classes[request.class].shape.draw(mean, &mut self.work));
+        match self.nodes[index].emulated.bring(now, job, work) {
             Brought::Full => {
-                self.reply(id, n, 503, "Srv-Declined: 1\r\n", &a.id, a.head);
+                self.respond(id, index, 503, "Srv-Declined: 1\r\n", &request.id, request.is_head);
                 true
             }
             _ => {
-                self.jobs.insert(job, (id, a.id, a.head));
-                if let Some(conn) = self.conns.get_mut(&id) {
-                    conn.job = Some(job);
+                self.jobs.insert(job, (id, request.id, request.is_head));
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.job = Some(job);
                 }
-                self.look_after(n);
+                self.schedule_next_job_end(index);
                 false
             }
         }
     }
 
-    fn reply(&mut self, id: u64, n: usize, status: u16, more: &str, request: &str, bare: bool) {
+    /// Sends the response of node `index`: `more` are further header lines, `request` is the request's id.
+    fn respond(&mut self, id: u64, index: usize, status: u16, more: &str, request: &str, is_head: bool) {
         let now = self.now();
         let report = match &self.world.tiers[0].reports {
             None => String::new(),
-            Some(r) => {
-                let p = &mut self.places[n];
-                if p.report.0 < Micros(0) || now - p.report.0 >= r.every.0 + r.delay.0 + self.late_reports {
-                    p.report = (now, p.node.held());
+            Some(reports) => {
+                let node = &mut self.nodes[index];
+                if node.report.0 < Micros(0)
+                    || now - node.report.0 >= reports.every.0 + reports.delay.0 + self.report_delay
+                {
+                    node.report = (now, node.emulated.held());
                 }
-                format!("Srv-Load: TEXT inflight={}\r\n", p.report.1)
+                format!("Srv-Load: TEXT inflight={}\r\n", node.report.1)
             }
         };
-        let body = if bare { String::new() } else { format!("{} {request}\n", self.places[n].name) };
-        self.places[n].answered += 1;
-        let answer =
+        let body = if is_head { String::new() } else { format!("{} {request}\n", self.nodes[index].name) };
+        self.nodes[index].answered += 1;
+        let response =
             format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{report}{more}\r\n{body}", body.len());
-        self.send(id, answer.as_bytes());
+        self.send(id, response.as_bytes());
     }
 
-    pub(crate) fn work_off(&mut self, n: usize) {
+    /// Sends the responses of the jobs that a node has finished by now.
+    pub(crate) fn finish_jobs(&mut self, index: usize) {
         let now = self.now();
-        while let Some(job) = self.places[n].node.pop(now) {
-            let Some((id, request, bare)) = self.jobs.remove(&job) else { continue };
-            if let Some(conn) = self.conns.get_mut(&id) {
-                conn.job = None;
+        while let Some(job) = self.nodes[index].emulated.pop(now) {
+            let Some((id, request, is_head)) = self.jobs.remove(&job) else { continue };
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.job = None;
             }
-            if self.errors.chance(self.places[n].spoilt) {
+            if self.errors.chance(self.nodes[index].malformed) {
                 self.send(id, b"\x01\x02 this is no answer\r\n\r\n");
                 continue;
             }
             let status = if self.errors.chance(self.world.tiers[0].errors) { 500 } else { 200 };
-            self.reply(id, n, status, "", &request, bare);
-            // The next request may have come meanwhile.
-            self.node_input(id, n);
+            self.respond(id, index, status, "", &request, is_head);
+            // The connection's next request may have come meanwhile.
+            self.node_input(id, index);
         }
-        self.look_after(n);
+        self.schedule_next_job_end(index);
     }
 
-    pub(crate) fn look_after(&mut self, n: usize) {
-        let p = &mut self.places[n];
-        p.version += 1;
-        let version = p.version;
-        if let Some(at) = p.node.next() {
-            self.ask(at, Due::Node(n, version));
+    /// Schedules the event at which the next job of a node ends; earlier ones for the node become void.
+    pub(crate) fn schedule_next_job_end(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        node.version += 1;
+        let version = node.version;
+        if let Some(at) = node.emulated.next() {
+            self.schedule(at, Event::JobEnds(index, version));
         }
     }
 
-    fn set_speed(&mut self, n: usize) {
+    /// Sets a node's speed by its warm-up and its faults.
+    fn update_speed(&mut self, index: usize) {
         let now = self.now();
-        let t = &self.world.tiers[0];
-        let p = &mut self.places[n];
-        let warmth = p.cold_from.map_or(1.0, |from| {
-            let age = (now - from).0 as f64 / t.warm_after.0 .0.max(1) as f64;
-            t.cold_share + (1.0 - t.cold_share) * age.clamp(0.0, 1.0)
+        let tier = &self.world.tiers[0];
+        let node = &mut self.nodes[index];
+        let warmth = node.cold_from.map_or(1.0, |from| {
+            let age = (now - from).0 as f64 / tier.warm_after.0 .0.max(1) as f64;
+            tier.cold_share + (1.0 - tier.cold_share) * age.clamp(0.0, 1.0)
         });
-        p.node.set_factor(now, if p.hung || p.stopped { 0.0 } else { warmth / p.slow });
-        self.look_after(n);
+        node.emulated.set_factor(now, if node.hung || node.stopped { 0.0 } else { warmth / node.slowdown });
+        self.schedule_next_job_end(index);
     }
 
-    pub(crate) fn warm(&mut self, n: usize) {
+    /// Takes one step of a node's warm-up, and schedules the next.
+    pub(crate) fn warm_up(&mut self, index: usize) {
         let now = self.now();
         let ramp = self.world.tiers[0].warm_after.0;
-        let p = &mut self.places[n];
-        let Some(from) = p.cold_from else { return };
+        let node = &mut self.nodes[index];
+        let Some(from) = node.cold_from else { return };
         if now - from >= ramp {
-            p.cold_from = None;
+            node.cold_from = None;
         } else {
-            self.ask(now + Micros((ramp.0 / STEPS_TO_WARM).max(1)), Due::Warm(n));
+            self.schedule(now + Micros((ramp.0 / WARM_UP_STEPS).max(1)), Event::WarmUp(index));
         }
-        self.set_speed(n);
+        self.update_speed(index);
     }
 
-    pub(crate) fn stop(&mut self, n: usize) {
-        if !self.places[n].draining {
+    /// Stops a draining node: its connections end, and it leaves discovery's list.
+    pub(crate) fn stop_node(&mut self, index: usize) {
+        if !self.nodes[index].draining {
             return;
         }
-        self.places[n].stopped = true;
+        self.nodes[index].stopped = true;
         let now = self.now();
-        self.places[n].node.clear(now);
-        let mine: Vec<u64> =
-            self.conns.iter().filter(|(_, c)| c.party == crate::Party::Node(n)).map(|(&id, _)| id).collect();
-        mine.into_iter().for_each(|id| self.close(id));
-        self.set_speed(n);
-        self.announce(n, ListedState::Removed);
+        self.nodes[index].emulated.clear(now);
+        let connections: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.endpoint == crate::Endpoint::Node(index))
+            .map(|(&id, _)| id)
+            .collect();
+        connections.into_iter().for_each(|id| self.close(id));
+        self.update_speed(index);
+        self.schedule_publication(index, ListedState::Removed);
     }
 
-    fn start_node(&mut self, n: usize) {
+    /// Starts a stopped or draining node again, cold.
+    fn start_node(&mut self, index: usize) {
         let now = self.now();
-        let p = &mut self.places[n];
-        (p.stopped, p.draining, p.cold_from, p.told_drained) = (false, false, Some(now), None);
+        let node = &mut self.nodes[index];
+        (node.stopped, node.draining, node.cold_from, node.drain_published) = (false, false, Some(now), None);
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        p.since_ms = unix.as_millis() as u64;
-        self.warm(n);
-        self.announce(n, ListedState::Ready);
+        node.since_ms = unix.as_millis() as u64;
+        self.warm_up(index);
+        self.schedule_publication(index, ListedState::Ready);
     }
 
-    pub(crate) fn fault(&mut self, i: usize, begins: bool) {
-        self.faults[i].0 = begins;
-        let (_, nodes, size) = self.faults[i].clone();
-        match self.world.faults[i].what.clone() {
+    /// Begins or ends a fault of the world.
+    pub(crate) fn switch_fault(&mut self, fault: usize, begins: bool) {
+        self.faults[fault].0 = begins;
+        let (_, nodes, size) = self.faults[fault].clone();
+        match self.world.faults[fault].what.clone() {
             What::Slow(_) => {
                 for n in nodes {
-                    self.places[n].slow = if begins { size } else { 1.0 };
-                    self.set_speed(n);
+                    self.nodes[n].slowdown = if begins { size } else { 1.0 };
+                    self.update_speed(n);
                 }
             }
             What::Hang => {
                 for n in nodes {
-                    self.places[n].hung = begins;
-                    self.set_speed(n);
+                    self.nodes[n].hung = begins;
+                    self.update_speed(n);
                 }
             }
             What::FastErrors(_) => {
-                nodes.iter().for_each(|&n| self.places[n].fast_errors = if begins { size } else { 0.0 })
+                nodes.iter().for_each(|&n| self.nodes[n].fast_errors = if begins { size } else { 0.0 })
             }
             What::Spoilt(_) => {
-                nodes.iter().for_each(|&n| self.places[n].spoilt = if begins { size } else { 0.0 })
+                nodes.iter().for_each(|&n| self.nodes[n].malformed = if begins { size } else { 0.0 })
             }
-            What::LateReports(_) => self.late_reports = Micros(if begins { size as i64 } else { 0 }),
-            // On sockets of one machine a node can't go silent without its kernel's answering: it hangs instead.
+            What::LateReports(_) => self.report_delay = Micros(if begins { size as i64 } else { 0 }),
+            // The kernel of this machine answers for sockets of a node that vanishes, so that a node can't
+            // disappear without a trace; it drains and stops instead.
             What::Vanish | What::Restart => {
                 for n in nodes {
                     if begins {
-                        self.places[n].draining = true;
-                        self.announce(n, ListedState::Draining);
+                        self.nodes[n].draining = true;
+                        self.schedule_publication(n, ListedState::Draining);
                         let at = self.now() + Micros(1_000_000);
-                        self.ask(at, Due::Stop(n));
+                        self.schedule(at, Event::StopNode(n));
                     } else {
                         self.start_node(n);
                     }
                 }
             }
             What::StaleList => {
-                self.stale = begins;
+                self.list_is_stale = begins;
                 if !begins {
-                    for (n, state) in std::mem::take(&mut self.held_news) {
-                        self.told(n, state);
+                    for (n, state) in std::mem::take(&mut self.withheld_changes) {
+                        self.publish(n, state);
                     }
                 }
             }
             What::LyingList => {
                 for n in nodes {
-                    self.announce(n, if begins { ListedState::Removed } else { ListedState::Ready });
+                    self.schedule_publication(
+                        n,
+                        if begins { ListedState::Removed } else { ListedState::Ready },
+                    );
                 }
             }
-            // The balancers are processes of their own here: the drill has them die and stand still.
+            // Balancers are processes of their own here; killing and stopping them is the drill's task.
             What::Burst(_) | What::Partition | What::KillBalancers | What::StopBalancers => {}
         }
     }
