--- a/crates/drill/src/http.rs
+++ b/crates/drill/src/http.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The longest response that is read, its head included.
+/// The longest response that is read, in bytes with its head.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
 /// Returns the status and the body of `GET path`. `Err` says why no complete response came within `timeout`.
--- a/crates/drill/src/process.rs
+++ b/crates/drill/src/process.rs
@@ -26,17 +26,18 @@
 /// One member of the fleet: its addresses, its configuration file and its process.
 pub struct Member {
     pub name: String,
-    /// The address on which it receives the fleet's datagrams.
+    /// The address on which the member receives the fleet's datagrams.
     pub link: SocketAddr,
-    /// The address on which it accepts requests.
+    /// The address on which the member accepts requests.
     pub listen: SocketAddr,
-    /// The address on which it accepts operators' calls.
+    /// The address on which the member accepts operators' calls.
     pub admin: SocketAddr,
-    /// Its configuration file; the log and the state folder stand beside it under the same stem.
+    /// The member's configuration file; its log and state folder have the same path with other extensions.
     pub config_file: PathBuf,
     pub state: ProcessState,
+    /// The member's process, until its exit has been seen.
     child: Option<Child>,
-    /// The number of times that its process was started.
+    /// The number of times that the member's process was started.
     pub start_count: u32,
 }
 
@@ -147,7 +148,7 @@
             .filter(|p| p.file_name().and_then(|n| n.to_str()).is_some_and(|n| n.starts_with("records.")))
             .max_by_key(|p| p.extension().and_then(|e| e.to_str()?.parse::<u64>().ok()));
         let Some(path) = newest else { return Ok(()) };
-        // A length of 200 bytes, followed by fewer bytes than that.
+        // The record starts with a length of 200 bytes, and fewer bytes follow.
         File::options().append(true).open(path)?.write_all(&[0, 0, 0, 200, 0, 0, 0, 0, 9, 9, 9])
     }
 
@@ -166,7 +167,7 @@
         Ok(())
     }
 
-    /// The id of its process, if there is one.
+    /// The id of the member's process, if there is one.
     pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
--- a/crates/drill/src/relay.rs
+++ b/crates/drill/src/relay.rs
@@ -19,7 +19,7 @@
     pub loss: f64,
     /// The probability that a datagram is delivered twice, from 0 to below 1.
     pub duplication: f64,
-    /// The largest delay of a datagram; each gets a random one up to it.
+    /// The largest delay of a datagram; the delay of each is random, from 0 up to this.
     pub delay: Duration,
     /// Pairs of sending and receiving member between which no datagram passes.
     pub cut: BTreeSet<(usize, usize)>,
@@ -50,7 +50,7 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The most delayed datagrams that wait at once; any beyond are dropped.
+/// The largest number of delayed datagrams that wait at once; any beyond are dropped.
 const MAX_DELAYED: usize = 100_000;
 
 impl Relays {
--- a/crates/drill/src/report.rs
+++ b/crates/drill/src/report.rs
@@ -17,23 +17,23 @@
     /// When the member was asked, from the drill's start.
     pub at: Duration,
     pub member: usize,
-    /// The members that it takes to be alive: itself and suspects included.
+    /// The members that the member takes to be alive, itself and suspects included.
     pub alive: BTreeSet<usize>,
-    /// The members that it takes to be dead.
+    /// The members that the member takes to be dead.
     pub down: BTreeSet<usize>,
-    /// The size of the fleet that it reckons with.
+    /// The size of the fleet that the member calculates with (`size` of `/members`).
     pub size: u64,
-    /// How often it found out that it had been taken for dead.
+    /// The number of times that the member found out that others had taken it for dead.
     pub away: u64,
-    /// How often its process stood still.
+    /// The number of times that the member's process stood still, for instance while stopped.
     pub stalls: u64,
-    /// The number of verdicts that it acts on.
+    /// The number of verdicts that the member acts on.
     pub acted_on: u64,
-    /// The age of the oldest verdict that it stores.
+    /// The age of the oldest verdict that the member stores.
     pub oldest_verdict: Duration,
     /// The number of members with a verdict against a node.
     pub accusers: usize,
-    /// The datagrams that it dropped because of their protocol version.
+    /// The number of datagrams that the member dropped because of their protocol version.
     pub other_version: u64,
 }
 
@@ -74,7 +74,7 @@
 /// The results of checking one invariant.
 #[derive(Clone, Debug, Default)]
 pub struct Check {
-    /// How often it was checked.
+    /// The number of times that the invariant was checked.
     pub tried: u64,
     /// Descriptions of the first few violations.
     pub examples: Vec<String>,
@@ -86,7 +86,7 @@
     pub bound: Option<Duration>,
 }
 
-/// The most violations of an invariant that are described.
+/// The largest number of violations of an invariant that are described.
 const MAX_EXAMPLES: usize = 5;
 
 impl Check {
@@ -121,10 +121,11 @@
     unnoticed_deaths: Vec<(usize, Duration, Duration)>,
     /// By member: the numbers of live members that its process saw within the hold time, and when.
     seen_sizes: BTreeMap<usize, Vec<(Duration, u64)>>,
-    /// By member: the last values of `away` and `stalls` that it reported.
+    /// By member: the values of `away` that the members reported last.
     aways: BTreeMap<usize, u64>,
+    /// By member: the values of `stalls` that the members reported last.
     stalls: BTreeMap<usize, u64>,
-    /// Nodes that are sick now.
+    /// The nodes that a fault makes hang or fail now.
     sick_nodes: BTreeSet<usize>,
     /// When a fault of nodes last began or ended.
     nodes_changed_at: Duration,
@@ -132,9 +133,9 @@
     change_followed: bool,
     /// The number of requests that each node got while it was sick.
     sick_requests: Vec<u64>,
-    /// By member: whether it has dropped a datagram of another protocol version.
+    /// By member: whether the member has dropped a datagram of another protocol version.
     saw_other_version: BTreeMap<usize, bool>,
-    /// By duty and epoch: the life of the process that owned it first.
+    /// By duty and epoch: the life of the process that owned the duty first under this epoch.
     epoch_owners: BTreeMap<(String, u64), String>,
     /// By duty: the highest epoch under which an owner was seen to act, when that was reported, and by which
     /// member.
@@ -143,7 +144,7 @@
     idle_since: BTreeMap<String, Duration>,
     /// By duty: when an owner was last seen to act.
     last_acting: BTreeMap<String, Duration>,
-    /// Since when a majority of voters is there without a break, so that an owner can be found.
+    /// Since when a majority of voters has been available without a break, so that owners can be elected.
     majority_since: Option<Duration>,
     /// The times for which duties had no acting owner.
     gaps: Vec<Duration>,
@@ -214,8 +215,8 @@
         self.noticed_within() + Duration::from_secs(10)
     }
 
-    /// Drops what was recorded of a member's former process: a new one does not know the sizes seen before
-    /// it.
+    /// Drops what was recorded of a member's former process: its successor does not know the
+    /// sizes of the fleet seen before.
     pub fn forget_life(&mut self, member: usize) {
         self.seen_sizes.remove(&member);
         self.unnoticed_deaths.retain(|d| d.0 != member);
@@ -249,7 +250,7 @@
         self.check("no process ends by itself").require(false, || format!("m{member}: {status}"));
     }
 
-    /// Checks the response to a request that member `i` got.
+    /// Checks the response of a member to a request.
     pub fn check_response(&mut self, at: Duration, member: usize, response: Result<(u16, String), String>) {
         // While nodes are sick, and for up to the longest time of a request afterwards, some requests fail.
         let nodes_fail = self.script.faults.iter().any(|f| f.what.concerns_nodes());
@@ -261,8 +262,8 @@
         check.require(matches!(response, Ok((200, _))), || format!("{at:.2?} m{member}: {response:?}"));
     }
 
-    /// Checks a member's answer on the duties that it owns, which was asked for and which came at these
-    /// times.
+    /// Checks a member's report of the duties that it owns; the call was sent at `asked`, and its response
+    /// received at `came`.
     pub fn check_duties(&mut self, member: usize, asked: Duration, came: Duration, view: &Value) {
         let life = view["life"].as_str().unwrap_or("").to_string();
         if let Some(since) =
@@ -304,8 +305,8 @@
         }
     }
 
-    /// Checks for how long duties have had no acting owner; `majority`: whether a majority of voters is
-    /// there.
+    /// Checks for how long duties have had no acting owner; `majority`: whether a majority of voters
+    /// is available.
     pub fn check_owners(&mut self, at: Duration, majority: bool) {
         let Some(duties) = self.script.duties.clone() else { return };
         let lease = duties.lease.unwrap_or(Duration::from_secs(1));
@@ -396,7 +397,7 @@
         }
         let bound = match fault.what {
             FaultKind::Kill => self.noticed_within(),
-            // The member announces that it leaves, so the same bound is ample.
+            // The leaving member announces its death, so that the same bound is ample.
             FaultKind::Term => self.noticed_within(),
             _ => return,
         };
@@ -460,7 +461,8 @@
             self.check("strangers stay outside")
                 .require(holds, || format!("{at:.2?}: m{member} let m{stranger} in"));
         }
-        // The largest size is in force for the whole hold time, less the time that may lie between two polls.
+        // The largest size must be held for the whole hold time, less the time that may lie between two
+        // polls.
         let hold =
             self.fleet_time("size_hold", Duration::from_secs(60)).saturating_sub(Duration::from_millis(500));
         let floor = self.script.fleet.get("size_floor").and_then(|v| v.as_integer()).unwrap_or(1) as u64;
@@ -554,7 +556,7 @@
         self.check(name).require(false, || "not all running members came to that".into());
     }
 
-    /// Checks how long the deaths took to notice that all running members know by now, by their last samples.
+    /// Checks, for each death that all running members know of by their last samples, how long that took.
     fn check_deaths(&mut self, at: Duration, running: &BTreeSet<usize>) {
         let last: BTreeMap<usize, &Sample> =
             self.samples.iter().rev().take(2 * self.script.members).rev().map(|s| (s.member, s)).collect();
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -43,7 +43,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The time-out of each call to a member; long, since the machine is busy with the drill itself.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The initial members must all see each other within this.
+/// The longest time until all initial members see each other.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The fleet's key until a fault rotates the keys, as a line of a key file.
@@ -211,19 +211,19 @@
     }
 }
 
-/// A stand-in node responds to every request at once.
+/// Mode of a stand-in node: it responds to every request at once.
 const NODE_WELL: u8 = 0;
-/// A stand-in node accepts requests and never responds.
+/// Mode of a stand-in node: it accepts requests and never responds.
 const NODE_HANGS: u8 = 1;
-/// A stand-in node responds 500 to every request.
+/// Mode of a stand-in node: it responds 500 to every request.
 const NODE_FAILS: u8 = 2;
 
-/// A stand-in node: it responds to every request at once or, while it is sick, never or with 500.
+/// A stand-in node: it responds to every request at once or, while a fault makes it sick, never or with 500.
 struct Node {
     address: SocketAddr,
-    /// `NODE_WELL`, `NODE_HANGS` or `NODE_FAILS`.
+    /// The mode of the node: `NODE_WELL`, `NODE_HANGS` or `NODE_FAILS`.
     mode: Arc<AtomicU8>,
-    /// The number of requests that came while it was sick.
+    /// The number of requests that came while the node was hanging or failing.
     requests_while_sick: Arc<AtomicU64>,
 }
 
@@ -410,8 +410,8 @@
     /// Gives the running members these keys, of which they use the first.
     fn change_keys(&mut self, keys: &[&str]) -> Result<(), DrillError> {
         self.write_keys(keys)?;
-        for m in self.members.iter_mut().filter(|m| m.state == ProcessState::Running) {
-            m.signal(Signal::HUP, ProcessState::Running).map_err(system_error("sending SIGHUP"))?;
+        for member in self.members.iter_mut().filter(|member| member.state == ProcessState::Running) {
+            member.signal(Signal::HUP, ProcessState::Running).map_err(system_error("sending SIGHUP"))?;
         }
         // Members act on the signal at once. Their logs would confirm it, but the drill uses network
         // interfaces alone.
--- a/crates/drill/src/script.rs
+++ b/crates/drill/src/script.rs
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it is injected, counted from the time at which the initial members see each other.
+    /// When the fault is injected, counted from the time at which all initial members see each other.
     #[serde(with = "humantime_text")]
     pub at: Duration,
     /// The kind of fault.
@@ -192,13 +192,13 @@
 impl Script {
     /// Returns the script with the random faults drawn and sorted in among the others.
     pub fn with_drawn_faults(&self) -> Script {
-        let mut s = self.clone();
-        if s.drawn > 0 {
-            s.faults.extend(crate::draw::draw_faults(self, self.drawn));
-            s.faults.sort_by_key(|f| f.at);
-            s.drawn = 0;
+        let mut script = self.clone();
+        if script.drawn > 0 {
+            script.faults.extend(crate::draw::draw_faults(self, self.drawn));
+            script.faults.sort_by_key(|fault| fault.at);
+            script.drawn = 0;
         }
-        s
+        script
     }
 
     /// Whether a member can't join the fleet, since it has another key or another protocol version.
@@ -218,66 +218,72 @@
 
     /// Parses and checks the text of a script.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
-        let s: Script = toml::from_str(text)?;
-        s.check()?;
-        Ok(s)
+        let script: Script = toml::from_str(text)?;
+        script.check()?;
+        Ok(script)
     }
 
     /// Checks ranges and dependencies of values, which parsing alone does not.
     pub fn check(&self) -> Result<(), ScriptError> {
-        let s = self;
+        let script = self;
         let invalid = |what: String| Err(ScriptError::Value(what));
-        if !(1..=200).contains(&s.members) {
-            return invalid(format!("members: {} is out of range; use 1 to 200", s.members));
+        if !(1..=200).contains(&script.members) {
+            return invalid(format!("members: {} is out of range; use 1 to 200", script.members));
         }
-        for (key, share) in [("loss", s.loss), ("twice", s.twice)] {
+        for (key, share) in [("loss", script.loss), ("twice", script.twice)] {
             if !(0.0..1.0).contains(&share) {
                 return invalid(format!("{key}: {share} is out of range; use 0 to below 1"));
             }
         }
-        if !(1..=1000).contains(&s.nodes) {
-            return invalid(format!("nodes: {} is out of range; use 1 to 1000", s.nodes));
+        if !(1..=1000).contains(&script.nodes) {
+            return invalid(format!("nodes: {} is out of range; use 1 to 1000", script.nodes));
         }
-        if !(1..=64).contains(&s.load) {
-            return invalid(format!("load: {} is out of range; use 1 to 64", s.load));
+        if !(1..=64).contains(&script.load) {
+            return invalid(format!("load: {} is out of range; use 1 to 64", script.load));
         }
-        let fault_nodes = s.faults.iter().filter(|f| f.what.concerns_nodes()).flat_map(|f| &f.members);
-        if let Some(i) = fault_nodes.chain(s.blind.values().flatten()).find(|&&i| i >= s.nodes) {
-            return invalid(format!("node {i} does not exist; there are {}, numbered from 0", s.nodes));
+        let fault_nodes =
+            script.faults.iter().filter(|fault| fault.what.concerns_nodes()).flat_map(|fault| &fault.members);
+        if let Some(i) = fault_nodes.chain(script.blind.values().flatten()).find(|&&i| i >= script.nodes) {
+            return invalid(format!("node {i} does not exist; there are {}, numbered from 0", script.nodes));
         }
-        let is_member_number = |k: &String| k.parse::<usize>().ok().filter(|&i| i < s.members).is_some();
-        if let Some(key) = s.blind.keys().chain(s.named_as.keys()).find(|k| !is_member_number(k)) {
+        let is_member_number = |k: &String| k.parse::<usize>().ok().filter(|&i| i < script.members).is_some();
+        if let Some(key) = script.blind.keys().chain(script.named_as.keys()).find(|k| !is_member_number(k)) {
             return invalid(format!(
                 "blind, named_as: {key:?} is not the number of a member; there are {}",
-                s.members
+                script.members
             ));
         }
-        let listed_members = s.late.iter().chain(&s.strangers).chain(&s.other_version);
-        let fault_members = s.faults.iter().filter(|f| !f.what.concerns_nodes());
-        let fault_members = fault_members.flat_map(|f| f.members.iter().chain(&f.to));
-        if let Some(i) = listed_members.chain(fault_members).find(|&&i| i >= s.members) {
-            return invalid(format!("member {i} does not exist; there are {}, numbered from 0", s.members));
+        let listed_members = script.late.iter().chain(&script.strangers).chain(&script.other_version);
+        let fault_members = script.faults.iter().filter(|fault| !fault.what.concerns_nodes());
+        let fault_members = fault_members.flat_map(|fault| fault.members.iter().chain(&fault.to));
+        if let Some(i) = listed_members.chain(fault_members).find(|&&i| i >= script.members) {
+            return invalid(format!(
+                "member {i} does not exist; there are {}, numbered from 0",
+                script.members
+            ));
         }
-        if let Some(duties) = &s.duties {
-            if !matches!(duties.voters, 1 | 3 | 5 | 7) || duties.voters > s.members || duties.names.is_empty()
+        if let Some(duties) = &script.duties {
+            if !matches!(duties.voters, 1 | 3 | 5 | 7)
+                || duties.voters > script.members
+                || duties.names.is_empty()
             {
                 return invalid(format!(
                     "duties: needs 1, 3, 5 or 7 voters, no more than the {} members, and at least one name",
-                    s.members
+                    script.members
                 ));
             }
         }
-        for (i, f) in s.faults.iter().enumerate() {
+        for (i, fault) in script.faults.iter().enumerate() {
             let takes_no_members =
-                matches!(f.what, FaultKind::Heal | FaultKind::RotateKeys | FaultKind::DropOldKey);
-            if takes_no_members != f.members.is_empty() {
+                matches!(fault.what, FaultKind::Heal | FaultKind::RotateKeys | FaultKind::DropOldKey);
+            if takes_no_members != fault.members.is_empty() {
                 let requirement = if takes_no_members { "takes no members" } else { "needs members" };
-                return invalid(format!("faults[{i}]: {:?} {requirement}", f.what));
+                return invalid(format!("faults[{i}]: {:?} {requirement}", fault.what));
             }
-            if (f.what == FaultKind::Cut) == f.to.is_empty() {
+            if (fault.what == FaultKind::Cut) == fault.to.is_empty() {
                 return invalid(format!("faults[{i}]: to is allowed for \"cut\" alone, which needs it"));
             }
-            if f.at > s.time {
+            if fault.at > script.time {
                 return invalid(format!("faults[{i}].at is after time, the end of the drill's faults"));
             }
         }
--- a/crates/drill/src/sink.rs
+++ b/crates/drill/src/sink.rs
@@ -32,7 +32,7 @@
     pub longest_gap: Duration,
     /// Epoch and sequence number of every accepted export.
     sequences: BTreeSet<(u64, u64)>,
-    /// By epoch, the life that used it first.
+    /// By epoch: the life of the process that used the epoch first.
     life_by_epoch: BTreeMap<u64, String>,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl SinkRecord {
-    /// Counts an export; returns the status line's code and reason.
+    /// Counts an export, and returns the status code and reason of the response.
     fn record(&mut self, export: &Value) -> &'static str {
         let (Some(epoch), Some(sequence)) = (export["epoch"].as_u64(), export["sequence"].as_u64()) else {
             return "400 No";
--- a/crates/experiment/src/publish.rs
+++ b/crates/experiment/src/publish.rs
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-/// A mean with its interval as text, with fewer decimal places the larger it is.
+/// Formats a mean with its interval; the larger the mean, the fewer decimal places.
 fn format_mean(m: &Mean) -> String {
     let decimals = if m.mean.abs() >= 100.0 {
         0
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -29,19 +29,19 @@
     pub seed: u64,
     /// The worth of the requests served, as a share of the worth of all requests; 0 to 1.
     pub service: f64,
-    /// The least `service` of any second.
+    /// The value of `service` in the worst second.
     pub worst_second: f64,
     /// Requests served in time, per second.
     pub goodput: f64,
     /// The share of the nodes' work that was done for nothing.
     pub waste: f64,
-    /// Attempts per try.
+    /// The number of attempts of the first tier's balancers per try of a client.
     pub retry_amplification: f64,
     /// The median latency of the requests served, in milliseconds.
     pub p50_ms: f64,
     /// The 99th percentile of that latency, in milliseconds.
     pub p99_ms: f64,
-    /// The spread of the use of the first tier's nodes.
+    /// The coefficient of variation of the use of the first tier's nodes.
     pub imbalance: f64,
     /// The number of violations of rules, of all rules together.
     pub broken: u64,
@@ -51,7 +51,7 @@
     pub events: u64,
 }
 
-/// Runs a cell: case by index, policy and seed.
+/// Runs a cell, which is the index of a case, a policy and a seed.
 fn run_cell(plan: &Plan, cell: (usize, Kind, u64)) -> Row {
     let (case, policy, seed) = (&plan.cases[cell.0], cell.1, cell.2);
     let report = day::run(&case.world, seed, policy);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -31,7 +31,7 @@
 /// The longest delay of a due event in a valid run; beyond it the machine was too busy for the figures to
 /// count.
 pub const MAX_EVENT_DELAY: Duration = Duration::from_millis(50);
-/// The most connections, of nodes and discovery together.
+/// The largest number of connections, of nodes and discovery together.
 const MAX_CONNECTIONS: usize = 60_000;
 /// The longest request that a node reads, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
@@ -86,7 +86,7 @@
     JobEnds(usize, u64),
     /// The fault begins (true) or ends.
     Fault(usize, bool),
-    /// The draining node stops.
+    /// The draining node stops, and its connections are closed.
     StopNode(usize),
     /// The node warms up by one more step.
     WarmUp(usize),
@@ -116,7 +116,7 @@
     }
 }
 
-/// What the other end of a connection talks to.
+/// The listener that accepted a connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Endpoint {
     Node(usize),
--- a/crates/fleet/src/nodes.rs
+++ b/crates/fleet/src/nodes.rs
@@ -11,54 +11,58 @@
 
 /// The number of steps in which a node that was restarted reaches its full speed.
 const WARM_UP_STEPS: i64 = 16;
-/// New requests may reach a draining node until this long after its draining was written to every watch.
+/// How long after a node's draining was written to every watch new requests may still reach the node.
 const DRAIN_GRACE: Micros = Micros(500_000);
 
-/// Idempotency keys beyond this number have those removed whose window has passed for every class.
+/// Above this number of idempotency keys, those whose window has passed for every class are removed.
 const MAX_KEYS: usize = 1 << 18;
 
 /// An emulated node on a socket, with the faults that it has.
 pub(crate) struct HostedNode {
     pub name: String,
     pub address: SocketAddr,
-    /// The index of its zone in the world's list.
+    /// The index of the node's zone in the world's list.
     pub zone: usize,
-    /// The number of its cell; idempotency keys are known within a cell.
+    /// The number of the node's cell; all nodes of a cell share their idempotency keys.
     pub cell: usize,
     /// The emulator's node, which does the work.
     pub emulated: Node,
-    /// Counts the changes of when its next job ends; events of an older version are void.
+    /// The number of times that the end of the next job was rescheduled; an event of an older version is
+    /// void.
     pub version: u64,
-    /// The number of its open connections.
+    /// The number of the node's open connections.
     pub connections: usize,
-    /// When it was started last, in milliseconds of Unix time; 0: before the run.
+    /// When the node was started last, in milliseconds of Unix time; 0: before the run.
     pub since_ms: u64,
-    /// When its draining, or its removal, was written to every watch.
+    /// When the node's draining, or its removal, was written to every watch; `None` while it is ready.
     pub drain_published: Option<Micros>,
-    /// The number of responses that it has sent.
+    /// The number of responses that the node has sent.
     answered: u64,
-    /// When it was restarted, until it has warmed up.
+    /// When the node was restarted; `None` once it has warmed up.
     cold_from: Option<Micros>,
-    /// The factor by which it is slower than usual.
+    /// The factor by which a fault slows the node down; 1: no fault.
     slowdown: f64,
+    /// Whether a fault keeps the node from working.
     hung: bool,
+    /// Whether the node is off: it accepts no connections and is not listed.
     stopped: bool,
+    /// Whether the node declines new requests, before it stops.
     draining: bool,
     /// The probability that a request gets 500 at once.
     fast_errors: f64,
     /// The probability that a response is malformed.
     malformed: f64,
-    /// The load that it reports: when that was read, and the number of requests.
+    /// The load that the node reports: when it was measured, and the number of requests.
     report: (Micros, usize),
 }
 
 impl HostedNode {
-    /// Whether it accepts one more connection, if `max` may be open.
+    /// Whether the node accepts one more connection, of at most `max`.
     pub fn accepts_connections(&self, max: usize) -> bool {
         !self.stopped && self.connections < max
     }
 
-    /// Its state in discovery's list.
+    /// The node's state in discovery's list.
     pub fn listed_state(&self) -> ListedState {
         match (self.stopped, self.draining) {
             (true, _) => ListedState::Removed,
@@ -84,13 +88,13 @@
 struct NodeRequest {
     /// The length of the request in bytes, with its body.
     length: usize,
-    /// The index of its class, which the first segment of its path names.
+    /// The index of the request's class, which the first segment of the path names; else 0.
     class: usize,
-    /// The value of `Req-Id`.
+    /// The value of the header `Req-Id`, or empty.
     id: String,
-    /// The value of `Idempotency-Key`.
+    /// The value of the header `Idempotency-Key`.
     key: Option<String>,
-    /// The work from `Req-Cost`.
+    /// The work that the header `Req-Cost` asks for, if it is valid.
     cost: Option<f64>,
     is_head: bool,
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -78,7 +78,7 @@
     pub service_time: Percentiles,
     /// The number of connections that were opened.
     pub connections: u64,
-    /// The number of times that bytes came on a connection without a request waiting for them.
+    /// The number of times that bytes came on a connection without a request in flight, or behind a response.
     pub unasked: u64,
     /// The longest delay of the generator itself behind its schedule, in milliseconds.
     pub late_ms: f64,
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -42,9 +42,9 @@
     pub mix: Mix,
     /// When requests are sent.
     pub mode: Mode,
-    /// The most connections. Requests beyond them wait, and their latency includes the wait.
+    /// The largest number of connections. Requests beyond them wait, and their latency includes the wait.
     pub connections: usize,
-    /// The most requests that wait for a connection; any beyond count as unsent.
+    /// The largest number of requests that wait for a connection; any beyond count as unsent.
     pub backlog: usize,
     /// The time within which a complete response must come.
     pub timeout: Duration,
@@ -75,14 +75,15 @@
 
 /// A request in flight.
 struct RequestInFlight {
-    /// The index of its kind in the mix.
+    /// The index of the request's kind in the mix.
     kind: usize,
-    /// When it was meant to be sent.
+    /// When the request was meant to be sent.
     meant: Instant,
-    /// When it was sent.
+    /// When the request was sent.
     sent: Instant,
-    /// Whether it is a HEAD request, whose response has no body.
+    /// Whether the method is HEAD, so that the response has no body.
     is_head: bool,
+    /// The number of the request in this run; a time-out of an earlier request does not apply to it.
     number: u64,
 }
 
@@ -102,13 +103,15 @@
 enum Outcome {
     /// A complete response with this status came.
     Status(u16),
+    /// No complete response came within the time-out.
     TimedOut,
     /// The connection could not be opened, broke, or brought a malformed response.
     Broken,
-    /// The backlog was full.
+    /// The request was never sent, since the backlog was full.
     Unsent,
 }
 
+/// The state of a running load.
 struct LoadRun {
     load: Load,
     handle: LoopHandle<'static, LoadRun>,
@@ -120,7 +123,7 @@
     /// When requests time out, the earliest first: the time, the connection's id, the request's number.
     deadlines: BinaryHeap<Reverse<(Instant, u64, u64)>>,
     rng: ChaCha8Rng,
-    /// Makes ids and keys differ between runs.
+    /// A number computed from the seed, which makes ids and keys differ between runs.
     run_id: u64,
     /// The id of the connection opened last.
     last_connection: u64,
@@ -128,10 +131,12 @@
     last_request: u64,
     /// The outcomes and the latencies in microseconds, by kind.
     by_kind: Vec<(Outcomes, Histogram<u64>)>,
+    /// The outcomes and the latencies in microseconds, of all requests.
     all: (Outcomes, Histogram<u64>),
     /// The times of good responses from the actual sending, in microseconds.
     service_times: Histogram<u64>,
     opened: u64,
+    /// The number of times that bytes came without a request in flight, or behind a response.
     unasked: u64,
     /// The longest delay of the generator behind its schedule.
     schedule_delay: Duration,
