--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -209,14 +209,14 @@
 fn a_request_that_cannot_be_served_before_its_deadline_is_refused_early() {
     // Response times are 10 ms: with 7 ms to the deadline a retry is too likely to be late, with 400 ms it is
     // not.
-    for (left, retried) in [(7_000, false), (400_000, true)] {
+    for (time_left, retried) in [(7_000, false), (400_000, true)] {
         let mut harness = Harness::new(one_class_settings(Effect::Safe), 3);
         for id in 0..20 {
             harness.submit(id, 10_000);
             harness.end_attempt(id, 0, Code::Ok, 10_000, None);
         }
         harness.submit(100, 10_000);
-        harness.now += Micros(2_000_000 - left);
+        harness.now += Micros(2_000_000 - time_left);
         harness.end_attempt(100, 0, Code::Error, 10_000, None);
         // In this class a request has no worth at all past its aim. In the next one it keeps half of its
         // worth.
@@ -229,7 +229,7 @@
             harness.end_attempt(id, 0, Code::Ok, 10_000, None);
         }
         harness.submit(100, 10_000);
-        harness.now += Micros(2_000_000 - left);
+        harness.now += Micros(2_000_000 - time_left);
         harness.end_attempt(100, 0, Code::Error, 10_000, None);
         assert_eq!(harness.first_target().is_some(), retried);
         assert_eq!(harness.actions.iter().any(|a| matches!(a, Action::Refuse { .. })), !retried);
@@ -333,11 +333,11 @@
     let settings =
         Settings { classes: vec![Class::default(); 2], idle_close: Micros(0), ..Settings::default() };
     let mut harness = Harness::new(settings, 3);
-    let mut to = [[0; 3]; 2];
+    let mut sent = [[0; 3]; 2];
     for id in 0..400 {
         let class = (id % 2) as usize;
         let server = harness.submit_to_class(id, class as u32, 10_000, 900_000).unwrap() as usize;
-        to[class][server] += u32::from(id > 100);
+        sent[class][server] += u32::from(id > 100);
         harness.end_attempt(
             id,
             0,
@@ -350,7 +350,7 @@
         }
         harness.advance_periods(1);
     }
-    assert!(to[0][0] < 20 && to[1][0] > 30, "{to:?}");
+    assert!(sent[0][0] < 20 && sent[1][0] > 30, "requests by class and server: {sent:?}");
 }
 
 /// Guards against a server that is ejected for one class and cannot be ejected for others: where only one
--- a/crates/decisions/tests/four_rules.rs
+++ b/crates/decisions/tests/four_rules.rs
@@ -2,8 +2,8 @@
 //! records every request and attempt and checks each action. Rule 1: each request has one answer, in time.
 //! Rule 2: a request with effects is repeated only where that is safe. Rule 3: nothing is sent to a server
 //! that is known to be leaving. Rule 5: a class that is bound to machine kinds or zones stays within them.
-//! Rule 6: requests with the same key run one at a time. Attempts of one request run in parallel only where
-//! the settings allow it.
+//! Rule 6: requests with the same key run one at a time, in the order of their arrival. Attempts of one
+//! request run in parallel only where the settings allow it.
 
 use garnettally_decisions::*;
 use std::collections::BTreeMap;
@@ -291,14 +291,14 @@
         // Where removal is advisory, an entry as removed or a missing entry does not change whether a server
         // may be used.
         let removal_is_advisory = self.settings.removal_is_advisory;
-        for e in &entries {
-            let unfit_before = self.listed.get(&e.server.0).and_then(|l| l.1);
-            let unfit_since = match e.state {
+        for entry in &entries {
+            let unfit_before = self.listed.get(&entry.server.0).and_then(|l| l.1);
+            let unfit_since = match entry.state {
                 ListedState::Ready => None,
                 ListedState::Removed if removal_is_advisory => unfit_before,
                 _ => Some(self.now),
             };
-            self.listed.insert(e.server.0, (*e, unfit_since));
+            self.listed.insert(entry.server.0, (*entry, unfit_since));
         }
         if form != ListForm::Delta {
             for (id, (entry, unfit_since)) in self.listed.iter_mut() {
@@ -312,35 +312,37 @@
     }
 
     /// Advances the time, and hands in the timers and time-outs that are due until then, the earliest first.
-    fn advance(&mut self, to: Micros) {
+    fn advance(&mut self, end: Micros) {
         loop {
             let timer = self.timers.iter().enumerate().min_by_key(|(_, t)| t.0).map(|(i, t)| (t.0, i));
-            let out = self.requests.iter().flat_map(|(&id, request)| {
+            let time_out = self.requests.iter().flat_map(|(&id, request)| {
                 request
                     .attempts
                     .iter()
                     .enumerate()
                     .filter(|(_, s)| s.in_flight)
-                    .map(move |(n, s)| (s.times_out_at, id, n))
+                    .map(move |(attempt, s)| (s.times_out_at, id, attempt))
             });
-            let out = out.min();
-            match (timer, out) {
-                (Some((at, i)), o) if at <= to && o.is_none_or(|(u, ..)| at <= u) => {
-                    self.now = self.now.max(at);
-                    let token = self.timers.swap_remove(i).1;
+            let time_out = time_out.min();
+            match (timer, time_out) {
+                (Some((due, index)), _)
+                    if due <= end && time_out.is_none_or(|(times_out_at, ..)| due <= times_out_at) =>
+                {
+                    self.now = self.now.max(due);
+                    let token = self.timers.swap_remove(index).1;
                     self.handle(Event::Timer(token));
                 }
-                (_, Some((until, id, n))) if until <= to => {
-                    self.now = self.now.max(until);
-                    self.outcome(id, n, Code::Timeout);
+                (_, Some((times_out_at, id, attempt))) if times_out_at <= end => {
+                    self.now = self.now.max(times_out_at);
+                    self.outcome(id, attempt, Code::Timeout);
                 }
                 _ => break,
             }
         }
-        self.now = to;
+        self.now = end;
         for request in self.requests.values() {
             assert!(
-                request.ended || to <= request.expires + GRACE,
+                request.ended || end <= request.expires + GRACE,
                 "rule 1: a request was not answered in time"
             );
         }
@@ -349,8 +351,8 @@
     /// Advances the time by up to 15 ms and hands in one random event. `next_id` is the number of the next
     /// request.
     fn step(&mut self, next_id: &mut u64) {
-        let to = self.now + Micros(self.rng.i64(0..15_000));
-        self.advance(to);
+        let end = self.now + Micros(self.rng.i64(0..15_000));
+        self.advance(end);
         match self.rng.u32(0..100) {
             0..=44 => {
                 let class = self.rng.usize(0..5);
@@ -384,16 +386,16 @@
                         .iter()
                         .enumerate()
                         .filter(|(_, s)| s.in_flight)
-                        .map(move |(n, _)| (id, n))
+                        .map(move |(attempt, _)| (id, attempt))
                 });
                 let open: Vec<_> = open.collect();
                 if !open.is_empty() {
-                    let (id, n) = open[self.rng.usize(0..open.len())];
+                    let (id, attempt) = open[self.rng.usize(0..open.len())];
                     let codes = [Code::Ok, Code::Ok, Code::Error, Code::Full, Code::ConnectFailed];
                     let rare = [Code::Reset, Code::Cancelled, Code::Moot];
                     let all = [codes.as_slice(), &rare].concat();
                     let code = all[self.rng.usize(0..all.len())];
-                    self.outcome(id, n, code);
+                    self.outcome(id, attempt, code);
                 }
             }
             90..=92 => self.change_list(),
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -217,34 +217,37 @@
     }
 
     /// Starts an instance with a full list of the upstreams that are present.
-    fn start(&mut self, n: usize, seed: u64) {
-        let decisions = Decisions::new(site(n), seed * INSTANCES as u64 + n as u64, self.now);
-        self.instances[n] = Some(decisions);
+    fn start(&mut self, instance: usize, seed: u64) {
+        let decisions = Decisions::new(site(instance), seed * INSTANCES as u64 + instance as u64, self.now);
+        self.instances[instance] = Some(decisions);
         let listed = |(n, u): (usize, &Upstream)| listing(n, ListedState::Ready, u.started);
         let hosts = self.upstreams.iter().enumerate().filter(|(n, u)| *n < UPSTREAMS || u.started.is_some());
         let list = HostList { seq: 1, whole: true, hosts: hosts.map(listed).collect() };
-        self.report(n, Report::List(list));
+        self.report(instance, Report::List(list));
     }
 
     /// Reports an event to an instance and carries out its decisions.
-    fn report(&mut self, n: usize, report: Report) {
+    fn report(&mut self, instance: usize, report: Report) {
         let now = self.now;
-        let decisions = self.instances[n].as_mut().map_or(Vec::new(), |d| d.report(now, report));
-        self.carry_out(n, decisions);
+        let decisions = self.instances[instance].as_mut().map_or(Vec::new(), |d| d.report(now, report));
+        self.carry_out(instance, decisions);
     }
 
     /// Sends a change of the list to all instances, each after a random delay.
     fn announce(&mut self, hosts: Vec<(Listing, Option<std::net::SocketAddr>)>) {
-        for n in 0..INSTANCES {
+        for instance in 0..INSTANCES {
             let at = self.now + Micros(self.rng.i64(0..MAX_LIST_DELAY_US));
-            self.pending_lists.push((at, n, HostList { seq: 2, whole: false, hosts: hosts.clone() }));
+            self.pending_lists.push((at, instance, HostList { seq: 2, whole: false, hosts: hosts.clone() }));
         }
     }
 
-    fn carry_out(&mut self, n: usize, decisions: Vec<Decision>) {
+    /// Carries out the decisions of an instance.
+    fn carry_out(&mut self, instance: usize, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Send { request, upstream, timeout } => self.send(n, request.0, upstream, timeout),
+                Decision::Send { request, upstream, timeout } => {
+                    self.send(instance, request.0, upstream, timeout)
+                }
                 Decision::Cancel { request, attempt } => {
                     self.end_attempt(request.0, attempt, Code::Cancelled)
                 }
@@ -294,16 +297,16 @@
     }
 
     /// The present rate of requests of an instance, in requests a second.
-    fn rate(&self, n: usize) -> f64 {
+    fn rate(&self, instance: usize) -> f64 {
         let weight = |n: usize| if n.is_multiple_of(5) { self.case.busy_factor } else { 1.0 };
         let all: f64 = (0..INSTANCES).map(weight).sum();
         let capacity = UPSTREAMS as f64 * 1e6 / self.case.mean_work.0 as f64;
         let factor = if (BURST.0..BURST.1).contains(&self.now) { BURST_FACTOR } else { 1.0 };
-        capacity * self.case.load * factor * weight(n) / all
+        capacity * self.case.load * factor * weight(instance) / all
     }
 
     /// Submits a request with exponentially distributed work to an instance.
-    fn submit(&mut self, n: usize) {
+    fn submit(&mut self, instance: usize) {
         let mean = self.case.mean_work.0 as f64;
         let work = Micros((-mean * self.rng.f64().max(1e-9).ln()).max(1_000.0) as i64);
         self.last_request += 1;
@@ -318,8 +321,8 @@
             key: None,
         };
         let now = self.now;
-        let decisions = self.instances[n].as_mut().map_or(Vec::new(), |d| d.pick(now, request));
-        self.carry_out(n, decisions);
+        let decisions = self.instances[instance].as_mut().map_or(Vec::new(), |d| d.pick(now, request));
+        self.carry_out(instance, decisions);
     }
 
     /// Handles what is due, lets the instances receive requests and timers, and advances the time by one
@@ -339,16 +342,16 @@
         self.pending_lists = later;
         let due: Vec<(Micros, usize, HostList)> = due;
         due.into_iter().for_each(|(_, n, list)| self.report(n, Report::List(list)));
-        for n in 0..INSTANCES {
-            if self.instances[n].is_none() {
+        for instance in 0..INSTANCES {
+            if self.instances[instance].is_none() {
                 continue;
             }
             // An instance gets at most one request in a step, since steps are short.
-            if self.rng.f64() < self.rate(n) * STEP.0 as f64 / 1e6 {
-                self.submit(n);
+            if self.rng.f64() < self.rate(instance) * STEP.0 as f64 / 1e6 {
+                self.submit(instance);
             }
-            let tick = self.instances[n].as_mut().map_or(Vec::new(), |d| d.tick(now));
-            self.carry_out(n, tick);
+            let tick = self.instances[instance].as_mut().map_or(Vec::new(), |d| d.tick(now));
+            self.carry_out(instance, tick);
         }
         self.now += STEP;
     }
--- a/src/bin/garnettally-benchlink/host.rs
+++ b/src/bin/garnettally-benchlink/host.rs
@@ -24,6 +24,7 @@
     ids: FxHashMap<String, u64>,
     /// The open requests, by the module's number.
     open_requests: FxHashMap<u64, OpenRequest>,
+    /// The module's number for the next request.
     next_id: u64,
 }
 
@@ -277,8 +278,8 @@
     /// Appends an action to the reply and updates the open requests.
     fn write_action(&mut self, balancer: u64, action: &Action, reply: &mut Vec<u8>) {
         let tid = |id: &RequestId| self.open_requests.get(&id.0).map_or("", |open| &open.tid);
-        let name = |s: &ServerId| self.names.server(*s);
-        let out = match action {
+        let name = |server: &ServerId| self.names.server(*server);
+        let message = match action {
             Action::Send { id, server, timeout } => Outgoing::SubmitTo {
                 balancer,
                 tid: tid(id),
@@ -294,7 +295,7 @@
             Action::Watch => Outgoing::Tail { balancer, on: true },
             Action::Log(text) => Outgoing::Emit { balancer, what: text },
         };
-        write_message(reply, &out);
+        write_message(reply, &message);
         match action {
             Action::Send { id, .. } => {
                 if let Some(open) = self.open_requests.get_mut(&id.0) {
@@ -309,8 +310,8 @@
 }
 
 /// Appends a message to the reply, as a line of JSON.
-fn write_message(reply: &mut Vec<u8>, out: &Outgoing<'_>) {
-    serde_json::to_writer(&mut *reply, out).expect("writing to memory can't fail");
+fn write_message(reply: &mut Vec<u8>, message: &Outgoing<'_>) {
+    serde_json::to_writer(&mut *reply, message).expect("writing to memory can't fail");
     reply.push(b'\n');
 }
 
--- a/src/bin/garnettally-benchlink/wire.rs
+++ b/src/bin/garnettally-benchlink/wire.rs
@@ -26,7 +26,7 @@
     /// A balancer receives a request.
     #[serde(borrow)]
     Knock(Knock<'a>),
-    /// The head of an answer has arrived. The adapter does not use it.
+    /// The adapter does not use this message; it only checks that the balancer is running.
     HeadReceived(BalancerOnly),
     /// An attempt has ended.
     #[serde(borrow)]
@@ -36,9 +36,9 @@
     ClientLeft(ClientLeft<'a>),
     /// A timer that the balancer requested with `NotifyMe` is due.
     Timer(Timer),
-    /// The result of a check. The adapter does not use it.
+    /// The adapter does not use this message; it only checks that the balancer is running.
     Checked(BalancerOnly),
-    /// Data from another balancer. The adapter does not use it.
+    /// The adapter does not use this message; it only checks that the balancer is running.
     PeerData(BalancerOnly),
 }
 
@@ -225,8 +225,7 @@
     SubmitTo { balancer: u64, tid: &'a str, upstream: &'a str, allow_for_us: i64 },
     /// Cancel attempt `n` of the request.
     AbortAttempt { balancer: u64, tid: &'a str, n: u32 },
-    /// Refuse the request, which is safe to repeat; the client should wait `cool_down_us` first, unless it is
-    /// 0.
+    /// Refuse the request, which is safe to repeat. A `cool_down_us` above 0 tells the client to wait first.
     SayNo { balancer: u64, tid: &'a str, cool_down_us: i64 },
     /// Answer that the request has failed.
     RespondError { balancer: u64, tid: &'a str },
@@ -234,7 +233,7 @@
     NotifyMe { balancer: u64, due_at_us: i64, token: u64 },
     /// Open a watch on discovery for the balancer.
     Tail { balancer: u64, on: bool },
-    /// A line for the log.
+    /// Write the text to the log.
     Emit { balancer: u64, what: &'a str },
     /// The reply is complete.
     Eor {},
