--- a/crates/decisions/src/balancer/mod.rs
+++ b/crates/decisions/src/balancer/mod.rs
@@ -1,8 +1,10 @@
-//! **The** decisions of one balancer; its face (settings, events, actions) is `garnettally_model`.
+//! The decisions of one balancer. The settings, events and actions of its interface are defined in
+//! `garnettally_model`.
 //!
-//! CSLD: every call's estimated cost is booked onto a per-server time board; each period the booked work
-//! becomes a compressed weight; a call goes to the largest weight net of this instance's own sends since. The
-//! paper's names are kept. Each decision has a module of its own.
+//! The balancer implements CSLD: the estimated cost of each call is booked on a time board of its server;
+//! each period, the booked cost is turned into a compressed weight; a call goes to the server with the
+//! largest weight, net of what this instance has sent there since. The names Nr, Cp, Cr, TC, dec, L_k, W_k
+//! and Q_k are those of the paper. Each kind of decision has its own module.
 
 mod admission;
 mod board;
@@ -23,134 +25,169 @@
 use garnettally_subscription::{ListReport, Subscription};
 use rustc_hash::FxHashMap;
 
-use admission::{IN_TIME, QUOTA_LEAST};
-use board::{weights, SLOT};
-use concurrency_limit::{CROWDED, LIMIT_CHANCE, LIMIT_FIRST, STRETCH_MEAN};
+use admission::{IN_TIME_FACTOR, MIN_QUOTA_REQUESTS};
+use board::{loads_to_weights, SLOT};
+use concurrency_limit::{CONGESTED, FIRST_LIMIT_PER_SERVER, LIMIT_CHANCE_ROOTS, STRETCH_WEIGHT};
 use list_freshness::NEVER;
 pub use outlier_ejection::EJECT_SCORE;
-use outlier_ejection::{marks_of, BAD_MEAN, DELAY_FREE, OVERDUE};
-use period::PERIOD_MEAN;
-use pricing::{CALL_MEAN, FIRST_PRICE};
-use request_faults::STRUCK;
-use retry::{RETRY_LEAST, RETRY_PERIODS, RETRY_RATIO};
-use selection::allowed;
+use outlier_ejection::{health_of, FREE_DELAY_AIM_SHARE, MIN_SCORE_WEIGHT, OVERDUE_FACTOR};
+use period::PERIOD_WEIGHT;
+use pricing::{CALL_WEIGHT, FIRST_PRICE_US};
+use request_faults::FAULTY_SHARE;
+use retry::{MIN_RETRY_TOKENS, RETRY_RATIO, RETRY_SAVED_PERIODS};
+use selection::is_allowed;
 use slow_start::start_by_own_clock;
 
-// Times in microseconds, shares and ratios without a unit.
-const PERIOD: Micros = Micros(200_000); // P and slot_len, from the design page
+/// P and slot_len of the paper, with the value from the design page. In this crate, times of type `f64` are
+/// in microseconds, and shares and ratios have no unit.
+const PERIOD: Micros = Micros(200_000);
 
-const TICK: u64 = 0; // timer token of the period; a held request's is 1
+/// The token of the timer for the end of a period; the timers of waiting requests and of paused keys have the
+/// next token.
+const PERIOD_TIMER: u64 = 0;
 
 /// The balancer of one caller.
 #[derive(Default)]
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
+    /// The time of the latest event.
     now: Micros,
+    /// All servers that have ever been listed, by their numbers.
     servers: Vec<Server>,
-    ring: Vec<(u64, u32)>, // All ready servers by key
-    members: Vec<u32>,     // Those of them that this instance sends to; stale: to be chosen anew
-    stale: bool,
-    list_believed: bool, // Servers that it calls gone get nothing, though they may
-    busy: Vec<u32>,      // Servers with bookings or calls in flight
+    /// The ready servers, each with its ring key, in the order of these keys.
+    ring: Vec<(u64, u32)>,
+    /// The servers that this instance sends to.
+    subset: Vec<u32>,
+    /// Whether the subset has to be chosen anew before the next pick.
+    subset_is_stale: bool,
+    /// Whether servers that a list has removed get no calls though removals are advisory.
+    believes_removals: bool,
+    /// The servers with bookings or calls in flight.
+    busy_servers: Vec<u32>,
+    /// The time from which no server is cold any more.
     cold_until: Micros,
-    // Of this instance's clock: where it was stepped since, starts are dated by the new time
-    wall_ahead: Micros,
+    /// How far the wall clock is ahead of this instance's clock. If the wall clock has been stepped, new
+    /// starts of servers are dated by its new time.
+    wall_clock_ahead: Micros,
+    /// The requests without a final answer, and those with attempts in flight.
     requests: FxHashMap<RequestId, Request>,
-    held: Vec<RequestId>,
-    turns: FxHashMap<KeyId, Turn>,
-    means: Vec<Option<f64>>, // Running mean of served time by class: the price without a hint
-    patience: Vec<Micros>,   // The longest that a client's try has been given, by class
-    sides: Vec<Side>,        // Classes, then tenants, then those of no tenant
-    line: Line,
-    quota: Vec<f64>,
+    /// The requests that wait to be sent.
+    waiting: Vec<RequestId>,
+    /// The queues of those keys whose requests run in order.
+    key_queues: FxHashMap<KeyId, KeyQueue>,
+    /// The running mean of served time by class, which is the price of a request without a hint.
+    mean_times: Vec<Option<f64>>,
+    /// The longest time that a client has given a single try, by class.
+    longest_tries: Vec<Micros>,
+    /// The failure shares of the classes, then of the tenants, then of all requests without a known tenant.
+    failure_shares: Vec<FailureShare>,
+    /// The estimate of served time by price.
+    time_estimate: TimeEstimate,
+    /// The requests that each tenant may send within its quota at once.
+    quota_tokens: Vec<f64>,
+    /// When the present period ends.
     next_period: Micros,
-    looks_for_overdue: bool, // A period has ended since attempts were last looked at
-    timer: Micros,
-    st: Stats,
+    /// Whether a period has ended since the last check for overdue attempts.
+    overdue_check_due: bool,
+    /// When the next timer is due; the largest value: no timer is set.
+    timer_at: Micros,
+    /// The running means per period, from which prices, weights and the subset follow.
+    stats: Stats,
+    /// The servers by machine kind, each kind with its concurrency limit.
     pools: Vec<Pool>,
-    chance: f64, // Drawn anew each period: a limit of 0.3 lets one call in three periods of ten
+    /// A random number, 0 to 1, drawn anew each period, that is added to the calls in flight when they are
+    /// compared with a limit. So a limit of 0.3 allows one call in three of ten periods.
+    limit_dither: f64,
+    /// The budget for retries, in calls.
     retry_tokens: f64,
-    subscription: Option<Subscription>, // Where discovery must be asked
+    /// The state of the watch on discovery, where a watch has to be requested.
+    subscription: Option<Subscription>,
 }
 
 impl Balancer {
-    /// A fresh instance: it knows its settings, and nothing else.
+    /// Creates an instance that knows its settings and no servers yet. The seed determines all of its random
+    /// numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Balancer {
         let mut rng = fastrand::Rng::with_seed(seed);
         Balancer {
-            means: vec![None; settings.classes.len()],
-            patience: vec![Micros(0); settings.classes.len()],
-            quota: vec![QUOTA_LEAST; settings.tenant_quota.len()],
-            sides: vec![Side::default(); settings.classes.len() + settings.tenant_quota.len() + 1],
+            mean_times: vec![None; settings.classes.len()],
+            longest_tries: vec![Micros(0); settings.classes.len()],
+            quota_tokens: vec![MIN_QUOTA_REQUESTS; settings.tenant_quota.len()],
+            failure_shares: vec![
+                FailureShare::default();
+                settings.classes.len() + settings.tenant_quota.len() + 1
+            ],
             subscription: Subscription::from_settings(&settings, rng.u64(..), now),
             next_period: now,
-            timer: Micros(i64::MAX),
-            chance: rng.f64(),
-            retry_tokens: RETRY_LEAST,
-            st: Stats { cr: FIRST_PRICE, gain: 1.0, ..Stats::default() },
-            set: settings,
+            timer_at: Micros(i64::MAX),
+            limit_dither: rng.f64(),
+            retry_tokens: MIN_RETRY_TOKENS,
+            stats: Stats { cr: FIRST_PRICE_US, gain: 1.0, ..Stats::default() },
+            settings,
             rng,
             now,
             ..Balancer::default()
         }
     }
 
-    /// Takes one event, and appends what is to be done about it.
+    /// Handles an event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.now >= self.next_period {
-            self.period(actions);
+            self.end_period(actions);
         }
         match event {
-            Event::List { form, entries } => self.news(form, entries),
-            Event::WatchFailed { complete_until: since, failure } => self.unwatched(since, failure),
+            Event::List { form, entries } => self.apply_list(form, entries),
+            Event::WatchFailed { complete_until, failure } => self.watch_failed(complete_until, failure),
             Event::DiscoveryAnswerStarted => self.subscription.iter_mut().for_each(|s| s.answer_started()),
             Event::DiscoveryMoved => self.subscription.iter_mut().for_each(|s| s.registry_moved(self.now)),
-            Event::WallClock { ahead } => self.wall_ahead = ahead,
+            Event::WallClock { ahead } => self.wall_clock_ahead = ahead,
             Event::Request(new) => self.admit(new, actions),
-            Event::Outcome(outcome) => self.outcome(outcome, actions),
-            Event::ClientLeft(id) => self.over(id, actions),
-            Event::PeerVerdict(heard) => self.hear(heard, actions),
-            Event::Timer(_) => self.overdue(actions),
+            Event::Outcome(outcome) => self.handle_outcome(outcome, actions),
+            Event::ClientLeft(id) => self.close_request(id, actions),
+            Event::PeerVerdict(verdict) => self.apply_peer_verdict(verdict, actions),
+            Event::Timer(_) => self.check_overdue(actions),
         }
-        let ask = self.subscription.as_mut().is_some_and(|s| s.poll(self.now));
-        actions.extend(ask.then_some(Action::Watch));
-        self.drain_held(actions);
-        self.wake(actions);
+        let request_watch = self.subscription.as_mut().is_some_and(|s| s.poll(self.now));
+        actions.extend(request_watch.then_some(Action::Watch));
+        self.dispatch_waiting(actions);
+        self.set_timer(actions);
     }
 
-    /// One timer at a time, at the period's end, and only while time alone can change anything.
-    fn wake(&mut self, actions: &mut Vec<Action>) {
-        if self.timer <= self.now {
-            self.timer = Micros(i64::MAX);
+    /// Sets a timer for the end of the period, if time alone can change a decision by then and no earlier
+    /// timer is set.
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        if self.timer_at <= self.now {
+            self.timer_at = Micros(i64::MAX);
         }
-        let flights = self.busy.iter().flat_map(|&i| &self.servers[i as usize].flights);
-        let due = flights.filter(|f| !f.overdue).map(|f| f.overdue_at.max(self.next_period)).min();
-        let at = if self.held.is_empty() { due.unwrap_or(self.timer) } else { self.next_period };
-        let at = self.subscription.as_ref().and_then(|s| s.next_timeout()).map_or(at, |ask| at.min(ask));
-        if at < self.timer {
-            self.timer = at;
-            actions.push(Action::Timer { at, token: TICK });
+        let calls = self.busy_servers.iter().flat_map(|&i| &self.servers[i as usize].calls);
+        let due = calls.filter(|c| !c.is_overdue).map(|c| c.overdue_at.max(self.next_period)).min();
+        let at = if self.waiting.is_empty() { due.unwrap_or(self.timer_at) } else { self.next_period };
+        let at =
+            self.subscription.as_ref().and_then(|s| s.next_timeout()).map_or(at, |timeout| at.min(timeout));
+        if at < self.timer_at {
+            self.timer_at = at;
+            actions.push(Action::Timer { at, token: PERIOD_TIMER });
         }
     }
 
-    /// So many instances share the servers from now on, and this is which of them this one is.
-    pub fn set_instances(&mut self, instances: u32, me: u32) {
-        (self.set.instances, self.set.instance_index, self.stale) = (instances, me, true);
+    /// Sets how many instances share the servers, and the number of this one among them.
+    pub fn set_instances(&mut self, instances: u32, instance_index: u32) {
+        (self.settings.instances, self.settings.instance_index, self.subset_is_stale) =
+            (instances, instance_index, true);
         self.subscription.iter_mut().for_each(|s| s.set_instances(instances));
     }
 
-    /// Another instance has asked for the watch until now, and this one does from here on. What it was
-    /// told, and when,
-    /// goes on binding.
-    pub fn take_over_watch(&mut self, before: &Balancer) {
-        if let (Some(mine), Some(theirs)) = (&mut self.subscription, &before.subscription) {
-            mine.continue_from(theirs);
+    /// Takes over the watch on discovery from another instance. What that instance was notified of, and when,
+    /// stays in force.
+    pub fn take_over_watch(&mut self, previous: &Balancer) {
+        if let (Some(own), Some(other)) = (&mut self.subscription, &previous.subscription) {
+            own.continue_from(other);
         }
     }
 
-    /// The servers, for those who tell others of them.
+    /// Returns the servers that have ever been listed, for reports on their health.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -1,144 +1,204 @@
-//! Selection of a server for an attempt, and the send.
+//! The selection of a server for an attempt, and the send.
 
 use super::*;
 
-const LUCK: f64 = 0.25; // a server's luck lies so far from 1: equals are told apart, speeds not drowned
-const NEW_CONN: f64 = 40.0; // calls on its board that a server without an idle connection is charged
-const OPEN_LEAST: usize = 2; // once so many have one: boards are left a choice
-const CROSSING: f64 = 400.0; // the same for another zone, times what a crossing costs of a request's worth
-const LOW_WORTH_ROOM: f64 = 0.5; // part of it for requests worth little
+/// The largest distance of a server's random factor from 1: enough to spread calls over equal servers, and
+/// too little to hide differences in speed.
+const RANDOM_FACTOR_SPREAD: f64 = 0.25;
+/// The cost, in calls booked on its board, that is added for a server without an idle connection.
+const NEW_CONNECTION_CALLS: f64 = 40.0;
+/// The number of servers with an idle connection from which this cost is added, so that the boards have a
+/// choice.
+const MIN_OPEN_SERVERS: usize = 2;
+/// The cost, in calls, that is added for a server in another zone, multiplied by
+/// [`Settings::crossing_price`].
+const CROSSING_CALLS: f64 = 400.0;
+/// The share of the concurrency limit that requests of little worth may use.
+const LOW_WORTH_LIMIT_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// The largest weight net of own sends since the last update, among the servers that may be sent to.
-    pub(super) fn pick(&mut self, id: RequestId, retry: bool) -> Pick {
-        if self.stale {
-            self.subset();
+    /// Picks the server with the largest weight, net of this instance's sends since the last update, among
+    /// the servers that the request may be sent to.
+    pub(super) fn pick(&mut self, id: RequestId, retry: bool) -> PickResult {
+        if self.subset_is_stale {
+            self.choose_subset();
         }
-        let Some(r) = self.requests.get(&id) else { return Pick::Nobody };
-        let two = !self.set.parallel_attempts && r.attempts.iter().any(|a| a.out);
-        if two || r.expires <= self.now || r.attempts.len() >= self.set.max_attempts as usize {
-            return Pick::Nobody;
+        let Some(request) = self.requests.get(&id) else { return PickResult::NoServer };
+        let would_be_parallel =
+            !self.settings.parallel_attempts && request.attempts.iter().any(|attempt| attempt.in_flight);
+        if would_be_parallel
+            || request.expires <= self.now
+            || request.attempts.len() >= self.settings.max_attempts as usize
+        {
+            return PickResult::NoServer;
         }
-        // Rule 3.
+        // Rule 3: nothing is sent by a list that may lack changes which already have to be obeyed.
         if self.list_is_stale() {
-            return Pick::Wait;
+            return PickResult::Wait;
         }
-        // Rule 6: one at a time for each key, by arrival; then the key rests. The one that has the turn has
-        // had its rest. Waiting for it is no crowding.
-        if let Some(turn) = r.key.and_then(|k| self.turns.get(&k)) {
-            if turn.queue.front() != Some(&id) || (r.attempts.is_empty() && self.now < turn.rest) {
-                return Pick::Wait;
+        // Rule 6: requests with the same key run one at a time, in the order of arrival, and the key is
+        // paused after one that may still be running. The pause does not apply to retries of the first
+        // request in the queue. Waiting for the key does not count as congestion.
+        if let Some(queue) = request.key.and_then(|k| self.key_queues.get(&k)) {
+            if queue.requests.front() != Some(&id)
+                || (request.attempts.is_empty() && self.now < queue.paused_until)
+            {
+                return PickResult::Wait;
             }
         }
-        // Rule 2: what may have run, or may run yet, binds later sends.
-        let effect = self.set.classes[r.class].effect;
+        // Rule 2: an attempt that may have run, or may still run, restricts where later attempts may go.
+        let effect = self.settings.classes[request.class].effect;
         let mut bound: Option<(DedupScope, &ServerEntry)> = None;
-        for a in r.attempts.iter().filter(|a| a.may_have_run) {
+        for attempt in request.attempts.iter().filter(|attempt| attempt.may_have_run) {
             match effect {
                 Effect::Safe => {}
-                Effect::Unsafe => return Pick::Nobody,
-                Effect::Keyed { window, .. } if self.now - a.sent >= window => return Pick::Nobody,
-                Effect::Keyed { scope: group, .. } => {
-                    bound = Some((group, &self.servers[a.server.0 as usize].entry))
+                Effect::Unsafe => return PickResult::NoServer,
+                Effect::Keyed { window, .. } if self.now - attempt.sent_at >= window => {
+                    return PickResult::NoServer
+                }
+                Effect::Keyed { scope, .. } => {
+                    bound = Some((scope, &self.servers[attempt.server.0 as usize].entry))
                 }
             }
         }
-        // Room under the limit, less for what is past a tenant's share, repeated by a client, or struck.
-        let low = self.set.tier == 0 && (r.over_share || r.repeat);
-        let struck = self.fault(r) >= STRUCK;
-        let less = |p: &Pool| struck || (low && p.crowd > CROWDED / 2.0);
-        let part = |p: &Pool| if less(p) { LOW_WORTH_ROOM } else { 1.0 };
-        let room = |p: &Pool| retry || p.out as f64 + self.chance < part(p) * p.limit;
-        if !self.pools.is_empty() && !self.pools.iter().any(room) {
-            return Pick::Wait;
+        // Requests beyond the quota of their tenant, repeats by clients, and requests of a class or tenant
+        // that fails on any server get a smaller part of the concurrency limit.
+        let is_low = self.settings.tier == 0 && (request.over_quota || request.is_repeat);
+        let is_faulty = self.fault_share(request) >= FAULTY_SHARE;
+        let is_reduced = |p: &Pool| is_faulty || (is_low && p.congestion > CONGESTED / 2.0);
+        let share = |p: &Pool| if is_reduced(p) { LOW_WORTH_LIMIT_SHARE } else { 1.0 };
+        let has_room = |p: &Pool| retry || p.calls_in_flight as f64 + self.limit_dither < share(p) * p.limit;
+        if !self.pools.is_empty() && !self.pools.iter().any(has_room) {
+            return PickResult::Wait;
         }
-        let cold = |since: Micros| self.now < since + self.set.ramp_time;
-        let (mut best, mut waits) = ([None; 4], false);
-        let idle = self.members.iter().filter(|&&i| self.open(&self.servers[i as usize])).count();
-        for s in self.members.iter().map(|&i| &self.servers[i as usize]) {
-            let same = match bound {
-                Some((DedupScope::Zone, n)) => n.zone == s.entry.zone,
-                Some((DedupScope::Cell, n)) => n.zone == s.entry.zone && n.cell == s.entry.cell,
+        let is_cold = |started_at: Micros| self.now < started_at + self.settings.ramp_time;
+        let (mut best, mut must_wait) = ([None; 4], false);
+        let with_idle_connection =
+            self.subset.iter().filter(|&&i| self.has_idle_connection(&self.servers[i as usize])).count();
+        for server in self.subset.iter().map(|&i| &self.servers[i as usize]) {
+            let is_in_scope = match bound {
+                Some((DedupScope::Zone, first)) => first.zone == server.entry.zone,
+                Some((DedupScope::Cell, first)) => {
+                    first.zone == server.entry.zone && first.cell == server.entry.cell
+                }
                 _ => true,
             };
-            // Rule 5 binds every attempt.
-            if s.entry.state != ListedState::Ready || !same || !allowed(&self.set.classes[r.class], &s.entry)
+            // Rule 5 applies to every attempt.
+            if server.entry.state != ListedState::Ready
+                || !is_in_scope
+                || !is_allowed(&self.settings.classes[request.class], &server.entry)
             {
                 continue;
             }
-            let rank = match self.eligible(s, r.class) && self.trusted(s) {
-                // it turned one away, and may be leaving
-                false if s.proven == NEVER && !self.is_watched() => 3,
-                false => 2, // panic: nobody healthy, or none that is likely to stay, is left
-                true if r.attempts.iter().any(|a| a.server == s.entry.server) => 1,
+            let rank = match self.is_eligible(server, request.class) && self.is_likely_to_stay(server) {
+                // The server declined a call or was unreachable, and may be leaving.
+                false if server.confirmed_at == NEVER && !self.is_watched() => 3,
+                // Such a server is used only in panic: none is left that is healthy and likely to stay.
+                false => 2,
+                true if request.attempts.iter().any(|attempt| attempt.server == server.entry.server) => 1,
                 true => 0,
             };
-            if !room(&self.pools[s.pool])
-                || (s.started_at.is_some_and(cold)
-                    && s.bucket < (r.price - self.st.cr / self.st.gain).max(0.0))
+            if !has_room(&self.pools[server.pool])
+                || (server.started_at.is_some_and(is_cold)
+                    && server.cold_bucket < (request.price - self.stats.cr / self.stats.gain).max(0.0))
             {
-                waits |= rank < 2;
+                must_wait |= rank < 2;
                 continue;
             }
-            // Where servers differ, what this call itself would book counts like what is booked already.
-            let own = s.own + self.st.dec * self.st.gain * r.price * self.slowness(s) * s.luck;
-            // Join an idle connection: its server has answered, and no own call waits there. Boards of
-            // own sends tell no more of a server than that. Harm: who errs at once looks idle. A cold one
-            // has its bucket, and is free: charged, new servers were met by few or none of all callers.
-            let away = if s.entry.zone == self.set.zone { 0.0 } else { CROSSING * self.set.crossing_price };
-            let few = idle < OPEN_LEAST || (s.flights.is_empty() && s.started_at.is_some_and(cold));
-            let extra = if self.open(s) || (few && !s.shut) { away } else { away + NEW_CONN };
-            let net = s.weight - own / self.st.cr - self.st.dec * extra;
-            if best[rank].is_none_or(|(w, _): (f64, ServerId)| net > w) {
-                best[rank] = Some((net, s.entry.server));
+            // Where servers differ, the cost that this call would book counts like the cost booked already.
+            let sent = server.sent_since_update
+                + self.stats.dec
+                    * self.stats.gain
+                    * request.price
+                    * self.slowness(server)
+                    * server.random_factor;
+            // Servers with an idle connection are preferred: such a server has answered, and no call of this
+            // instance waits on that connection. A board of this instance's own sends shows no more than that
+            // about a server. Drawback: a server that fails at once looks idle. A cold server is limited by
+            // its bucket and is not charged for a new connection: when it was, few callers or none sent
+            // anything to new servers.
+            let crossing = if server.entry.zone == self.settings.zone {
+                0.0
+            } else {
+                CROSSING_CALLS * self.settings.crossing_price
+            };
+            let connects_freely = with_idle_connection < MIN_OPEN_SERVERS
+                || (server.calls.is_empty() && server.started_at.is_some_and(is_cold));
+            let extra = if self.has_idle_connection(server) || (connects_freely && !server.is_unreachable) {
+                crossing
+            } else {
+                crossing + NEW_CONNECTION_CALLS
+            };
+            let net_weight = server.weight - sent / self.stats.cr - self.stats.dec * extra;
+            if best[rank].is_none_or(|(weight, _): (f64, ServerId)| net_weight > weight) {
+                best[rank] = Some((net_weight, server.entry.server));
             }
         }
         match best.iter().flatten().next() {
-            Some(b) if best[..2].contains(&Some(*b)) || !waits => Pick::To(b.1),
-            _ if waits => Pick::Wait,
-            _ => Pick::Nobody,
+            Some(choice) if best[..2].contains(&Some(*choice)) || !must_wait => PickResult::Server(choice.1),
+            _ if must_wait => PickResult::Wait,
+            _ => PickResult::NoServer,
         }
     }
 
-    /// It has answered on a connection that is idle now, as far as this instance knows.
-    pub(super) fn open(&self, s: &Server) -> bool {
-        s.idle > 0 && self.now - s.idle_since < self.set.idle_close
+    /// Returns whether this instance has an idle connection to the server, as far as it knows.
+    pub(super) fn has_idle_connection(&self, server: &Server) -> bool {
+        server.idle_connections > 0 && self.now - server.idle_since < self.settings.idle_close
     }
 
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
+    /// Sends an attempt of the request to the server, and books its cost.
+    pub(super) fn send(&mut self, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let slow = self.slowness(&self.servers[server.0 as usize]);
-        let Some(r) = self.requests.get(&id) else { return };
-        let overdue = Micros((self.line.at(r.price) * OVERDUE) as i64) + PERIOD;
-        let overdue_at = if self.fault(r) >= STRUCK { r.expires } else { now + overdue };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let s = &mut self.servers[server.0 as usize];
-        let price = r.price * slow * self.st.gain;
-        s.board.queue.push((now, price));
-        s.own += price;
-        s.bucket -= r.price;
-        for m in marks_of(s, r.class) {
-            m.trial = m.ejected_until.is_some();
+        let slowness = self.slowness(&self.servers[server_id.0 as usize]);
+        let Some(request) = self.requests.get(&id) else { return };
+        let overdue_after =
+            Micros((self.time_estimate.served_time(request.price) * OVERDUE_FACTOR) as i64) + PERIOD;
+        let overdue_at =
+            if self.fault_share(request) >= FAULTY_SHARE { request.expires } else { now + overdue_after };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let server = &mut self.servers[server_id.0 as usize];
+        let price = request.price * slowness * self.stats.gain;
+        server.board.queue.push((now, price));
+        server.sent_since_update += price;
+        server.cold_bucket -= request.price;
+        for record in health_of(server, request.class) {
+            record.probe_in_flight = record.ejected_until.is_some();
         }
-        s.idle = s.idle.saturating_sub(1);
-        if !std::mem::replace(&mut s.busy, true) {
-            self.busy.push(server.0);
+        server.idle_connections = server.idle_connections.saturating_sub(1);
+        if !std::mem::replace(&mut server.is_busy, true) {
+            self.busy_servers.push(server_id.0);
         }
-        s.luck = 1.0 - LUCK + 2.0 * LUCK * self.rng.f64();
-        let (attempt, class, sent, overdue) = (r.attempts.len() as u32, r.class, now, false);
-        let (booked_until, price) = (s.board.tc.max(now.0 as f64) + price, r.price * slow);
-        s.flights.push(Flight { id, attempt, class, sent, overdue_at, overdue, booked_until, price });
-        r.attempts.push(Attempt { server, sent: now, out: true, may_have_run: true });
-        self.pools[s.pool].out += 1;
-        self.st.sent_count += 1.0;
-        self.st.sent_raw += price;
-        self.st.sent_booked += price * self.st.gain;
-        actions.push(Action::Send { id, server, timeout: r.expires - now });
+        server.random_factor = 1.0 - RANDOM_FACTOR_SPREAD + 2.0 * RANDOM_FACTOR_SPREAD * self.rng.f64();
+        let (attempt, class, sent_at, is_overdue) =
+            (request.attempts.len() as u32, request.class, now, false);
+        let (booked_until, unscaled_price) =
+            (server.board.tc.max(now.0 as f64) + price, request.price * slowness);
+        server.calls.push(InFlightCall {
+            id,
+            attempt,
+            class,
+            sent_at,
+            overdue_at,
+            is_overdue,
+            booked_until,
+            unscaled_price,
+        });
+        request.attempts.push(Attempt {
+            server: server_id,
+            sent_at: now,
+            in_flight: true,
+            may_have_run: true,
+        });
+        self.pools[server.pool].calls_in_flight += 1;
+        self.stats.sent_count += 1.0;
+        self.stats.sent_raw += unscaled_price;
+        self.stats.sent_booked += unscaled_price * self.stats.gain;
+        actions.push(Action::Send { id, server: server_id, timeout: request.expires - now });
     }
 }
 
-/// Rule 5: whether a class may go to a server.
-pub(super) fn allowed(class: &Class, news: &ServerEntry) -> bool {
-    let open = |only: &[u32], to: u32| only.is_empty() || only.contains(&to);
-    open(&class.only_kinds, news.kind) && open(&class.only_zones, news.zone)
+/// Rule 5: returns whether a server may serve a class, by its kind and zone.
+pub(super) fn is_allowed(class: &Class, entry: &ServerEntry) -> bool {
+    let is_among = |only: &[u32], value: u32| only.is_empty() || only.contains(&value);
+    is_among(&class.only_kinds, entry.kind) && is_among(&class.only_zones, entry.zone)
 }
