--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -296,10 +296,10 @@
             Call::Health => (503, b"no\n".to_vec()),
             Call::Stats => (200, self.stats_text(now).into_bytes()),
             Call::Members => match &self.fleet {
-                Some(fleet) => (200, fleet.json().to_string().into_bytes()),
+                Some(fleet) => (200, fleet.members_json().to_string().into_bytes()),
                 None => (404, Vec::new()),
             },
-            Call::Duties => match self.fleet.as_ref().and_then(|f| f.duties()) {
+            Call::Duties => match self.fleet.as_ref().and_then(|f| f.duties_json()) {
                 Some(duties) => (200, duties.to_string().into_bytes()),
                 None => (404, Vec::new()),
             },
@@ -307,7 +307,7 @@
                 let line = String::from_utf8_lossy(head);
                 let path = line.split(' ').nth(1).unwrap_or("").split('?').next().unwrap_or("").to_string();
                 let wished = wish(path.trim_end_matches('/')).zip(self.fleet.as_mut());
-                match wished.and_then(|((duty, member), fleet)| fleet.wish(duty, member)) {
+                match wished.and_then(|((duty, member), fleet)| fleet.request_move(duty, member)) {
                     Some(Ok(())) => (200, b"told the voters\n".to_vec()),
                     Some(Err(why)) => (409, (why + "\n").into_bytes()),
                     None => (404, Vec::new()),
@@ -343,14 +343,14 @@
         let lists_stale = self.pools.iter().filter(is_stale).count();
         let pending = self.exchanges.pending();
         let mut gauges = Gauges { pending, lists_stale, ..Gauges::default() };
-        for pool in self.pools.iter().filter(|p| !p.leaving) {
+        for pool in self.pools.iter().filter(|p| !p.is_retired) {
             let (members, unavailable) = pool.health.node_counts(at);
             gauges.members += members;
             gauges.members_unavailable += unavailable;
         }
         let mut text = self.stats.render(gauges);
         if let Some(fleet) = &self.fleet {
-            fleet.stats(&mut text);
+            fleet.write_stats(&mut text);
         }
         text
     }
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -138,8 +138,8 @@
         let call = http::call(request)?;
         // The newest settings that know the class, served by a pool that is ready; before a new pool has its list,
         // the one of the settings before serves what it knows.
-        let knows = |p: &&crate::pools::Pool| !p.leaving && p.decisions.class(call.class).is_some();
-        let newest_ready = self.pools.iter().filter(knows).filter(|p| p.ready).last();
+        let knows = |p: &&crate::pools::Pool| !p.is_retired && p.decisions.class(call.class).is_some();
+        let newest_ready = self.pools.iter().filter(knows).filter(|p| p.was_ready).last();
         let pool = newest_ready.or_else(|| self.pools.iter().filter(knows).last()).ok_or(Bad(404))?;
         let (class, effect) = pool.decisions.class(call.class).ok_or(Bad(404))?;
         match effect {
@@ -222,7 +222,7 @@
             }
             PoolChoice::Failover(list) => {
                 let ids: Vec<PoolId> = list.iter().map(|&p| place(p)).collect();
-                let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.fitness);
+                let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.failover);
                 let first = failover::choose_pool(fitness, at, spread).unwrap_or(0);
                 let others = ids.iter().enumerate().filter(|(i, _)| *i != first).map(|(_, id)| *id);
                 (ids[first], others.collect())
@@ -232,7 +232,7 @@
             match self.pins.get(at, key) {
                 Some((bound, until)) => {
                     // Only there a repeat is dropped; if it is gone, the window has to end first.
-                    if self.pools.get(bound).is_none_or(|p| p.leaving) {
+                    if self.pools.get(bound).is_none_or(|p| p.is_retired) {
                         let wait = Duration::from_micros((until - at).0.max(0) as u64);
                         return Err(refused(Some(wait)));
                     }
@@ -245,7 +245,7 @@
             }
         }
         // Without a node there is nothing to wait for; the next pool of a list is asked at once.
-        let serves = |id: PoolId| self.pools.get(id).is_some_and(|p| p.serves());
+        let serves = |id: PoolId| self.pools.get(id).is_some_and(|p| p.can_serve());
         while !serves(pool) {
             if others.is_empty() {
                 return Err(refused(Some(RETURN_AFTER)));
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -3,9 +3,9 @@
 use crate::admission::Unfit;
 use crate::exchange::Final;
 use crate::http::{self, Bad, Incoming, Outgoing};
-use crate::lease::Lease;
 use crate::pools::Budgets;
 use crate::reasons::CloseReason;
+use crate::reservation::Reservation;
 use crate::socket_errors::{accept_failure, AcceptFailure};
 use crate::{ConnId, Net, Proxy, Reading, Watched};
 use calloop::generic::Generic;
@@ -38,8 +38,8 @@
 struct Conn {
     listener: ListenerId,
     /// Its places among the connections of both sides, and among the callers'.
-    lease: Lease,
-    _caller: Lease,
+    lease: Reservation,
+    _caller: Reservation,
     socket: Watched,
     state: State,
     input: Vec<u8>,
@@ -114,9 +114,9 @@
             address: plan.address,
             socket: Some((listener, token)),
             resume: None,
-            connections: budgets.connections.join(plan.connections),
-            callers: budgets.callers.join(plan.connections),
-            requests: budgets.requests.join(plan.requests),
+            connections: budgets.connections.add_holder(plan.connections),
+            callers: budgets.callers.add_holder(plan.connections),
+            requests: budgets.requests.add_holder(plan.requests),
             memory: plan.memory_bytes,
         };
         self.listeners.insert(id, listener);
@@ -132,9 +132,9 @@
     /// Changes the shares of a listener that stays.
     pub fn change(&mut self, budgets: &Budgets, id: ListenerId, plan: &Plan) {
         if let Some(l) = self.listeners.get_mut(&id) {
-            budgets.connections.change(l.connections, plan.connections);
-            budgets.callers.change(l.callers, plan.connections);
-            budgets.requests.change(l.requests, plan.requests);
+            budgets.connections.set_share(l.connections, plan.connections);
+            budgets.callers.set_share(l.callers, plan.connections);
+            budgets.requests.set_share(l.requests, plan.requests);
             l.memory = plan.memory_bytes;
         }
     }
@@ -280,7 +280,7 @@
             // The callers' own limit is one more than that, until the next one comes: nothing is closed for a
             // connection that is not there.
             while let Err(why) = self.budgets.callers.check(&[Some(callers)]) {
-                if !self.close_idle_caller_for(|c| c._caller.helps(callers, why)) {
+                if !self.close_idle_caller_for(|c| c._caller.would_admit(callers, why)) {
                     return self.rest_accepting(at, "no connection is idle");
                 }
             }
@@ -302,8 +302,8 @@
                 Accepted::Failed(_, e) => return self.rest_accepting(at, &e.to_string()),
             };
             let leases = (
-                self.budgets.connections.take(&[Some(connections)]),
-                self.budgets.callers.take(&[Some(callers)]),
+                self.budgets.connections.reserve(&[Some(connections)]),
+                self.budgets.callers.reserve(&[Some(callers)]),
             );
             let (Ok(lease), Ok(caller)) = leases else { continue };
             let id = self.net.number();
@@ -368,7 +368,7 @@
     /// Ends what the listeners that were closed have left, once it is between requests.
     pub fn end_left_listeners(&mut self) {
         let closed = |l: &Listener| l.socket.is_none();
-        if self.shutdown.closing() || !self.callers.listeners.values().any(closed) {
+        if self.shutdown.is_closing() || !self.callers.listeners.values().any(closed) {
             return;
         }
         self.end_idle_callers(Instant::now(), false);
@@ -382,9 +382,9 @@
             .collect();
         for id in done {
             if let Some(l) = self.callers.listeners.remove(&id) {
-                self.budgets.connections.leave(l.connections);
-                self.budgets.callers.leave(l.callers);
-                self.budgets.requests.leave(l.requests);
+                self.budgets.connections.remove_holder(l.connections);
+                self.budgets.callers.remove_holder(l.callers);
+                self.budgets.requests.remove_holder(l.requests);
             }
         }
     }
@@ -590,7 +590,7 @@
 
     /// Writes an answer; then the connection closes, or takes its next request.
     fn write_answer(&mut self, id: ConnId, answer: &Outgoing<'_>) {
-        let closing = self.shutdown.closing()
+        let closing = self.shutdown.is_closing()
             || self.admin.draining()
             || self.callers.conns.get(&id).is_some_and(|conn| self.callers.left(conn));
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
@@ -695,7 +695,7 @@
 
     /// Closes one whose place helps a holder that was refused one.
     pub fn close_idle_caller_helping(&mut self, holder: HolderId, why: Refusal) -> bool {
-        self.close_idle_caller_for(|c| c.lease.helps(holder, why))
+        self.close_idle_caller_for(|c| c.lease.would_admit(holder, why))
     }
 }
 
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Where the upstreams come from: a watch on the discovery service. When to ask is the module's decision.
+//! Watches the discovery service for the list of upstreams. The decision module decides when a call is made;
+//! this file makes it, reads the streamed lists and reports failures.
 
-use crate::held_list::{HeldList, Taken};
+use crate::discovered_hosts::{DiscoveredHosts, ListOutcome};
 use crate::http::{self, Bad, Chunks};
 use crate::pools::PoolId;
 use crate::socket_errors::is_local_shortage;
@@ -13,145 +14,162 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// A call to discovery: the connection on which it streams lists.
 struct Watch {
+    /// The number of this call, unique in the process.
     number: u64,
-    asked: Instant,
+    /// When the call was made.
+    called_at: Instant,
     socket: Watched,
+    /// The request; its first `written` bytes are on the connection.
     output: Vec<u8>,
     written: usize,
+    /// Bytes received that are not decoded yet.
     input: Vec<u8>,
+    /// The decoder of the chunked body; `None` until the head of the response is complete.
     chunks: Option<Chunks>,
-    /// What has come of a list that is not whole yet.
-    text: Vec<u8>,
-    /// When a list or an empty line came last; `None`: never yet.
-    heard: Option<Instant>,
-    /// Up to when all changes have come on it. Its first line tells what was so at some time after the call, later ones what
-    /// was so when they were written: after this process last looked and found nothing.
-    complete: Option<Instant>,
-    /// It is given up then: a new list or an empty line puts that off, bytes alone don't.
+    /// Decoded body text of a list that has not arrived completely.
+    list_text: Vec<u8>,
+    /// When the last list or empty line was received; `None` until the first one, that is, while the watch is
+    /// not open.
+    last_data_at: Option<Instant>,
+    /// The time up to which all changes are known to have been received on this watch. The first line
+    /// describes the state at some time after the call, each later line the state when it was written, which
+    /// was after this process last polled its sockets and found nothing.
+    complete_as_of: Option<Instant>,
+    /// The watch is given up at this time. A list or an empty line postpones it; other bytes don't.
     deadline: Instant,
 }
 
 /// How a connection to discovery ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ending {
-    /// Discovery ended it, after all that it had written.
+enum ConnectionEnd {
+    /// Discovery closed the connection after all that it had written.
     Closed,
-    /// It was reset or broke: lines that were written may not have come.
+    /// The connection was reset or failed, so lines that discovery wrote may be lost.
     Broken,
-    /// Nothing came for too long.
+    /// Nothing was received before the deadline.
     TimedOut,
 }
 
 impl Watch {
-    /// Whether something has come of a line that is not whole.
+    /// Whether part of a line has been received, but not its end.
     fn is_within_line(&self) -> bool {
-        !self.input.is_empty() || !self.text.trim_ascii().is_empty()
+        !self.input.is_empty() || !self.list_text.trim_ascii().is_empty()
     }
 
-    /// What its ending shows, where nothing that came speaks for itself.
-    fn failure(&self, ending: Ending) -> CallFailure {
-        let is_open = self.heard.is_some();
+    /// The failure to report when the connection ended in this way, unless the response itself showed a
+    /// fault.
+    fn failure(&self, ending: ConnectionEnd) -> CallFailure {
+        let is_open = self.last_data_at.is_some();
         let is_answering = self.chunks.is_some() || !self.input.is_empty();
         match ending {
-            Ending::TimedOut if is_open => CallFailure::WatchSilent,
-            Ending::Closed | Ending::Broken if is_open && self.is_within_line() => CallFailure::WatchCut,
-            Ending::Closed if is_open => CallFailure::WatchEnded,
-            Ending::Broken if is_open => CallFailure::WatchBroken,
+            ConnectionEnd::TimedOut if is_open => CallFailure::WatchSilent,
+            ConnectionEnd::Closed | ConnectionEnd::Broken if is_open && self.is_within_line() => {
+                CallFailure::WatchCut
+            }
+            ConnectionEnd::Closed if is_open => CallFailure::WatchEnded,
+            ConnectionEnd::Broken if is_open => CallFailure::WatchBroken,
             _ if is_answering => CallFailure::IncompleteAnswer,
             _ if self.written == 0 => CallFailure::NoConnection,
-            Ending::TimedOut => CallFailure::NoAnswer,
-            Ending::Closed | Ending::Broken => CallFailure::ClosedBeforeAnswer,
+            ConnectionEnd::TimedOut => CallFailure::NoAnswer,
+            ConnectionEnd::Closed | ConnectionEnd::Broken => CallFailure::ClosedBeforeAnswer,
         }
     }
 }
 
-/// How a watch or a call ended.
+/// The failure that ended a watch, or a call that did not become one.
 #[derive(Clone, Copy)]
-struct Ended {
+struct WatchFailure {
     failure: CallFailure,
-    /// Up to when the watch had told of all changes, if it was open.
+    /// The time up to which the watch had delivered all changes; `None` if none is known.
     complete_until: Option<Instant>,
 }
 
-impl Ended {
+impl WatchFailure {
+    /// The report to the decision module, with the time since the list was last known to be complete.
     fn report(self, now: Instant) -> Report {
-        let silent = self.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        Report::WatchFailed { incomplete_for: silent, failure: self.failure }
+        let incomplete_for =
+            self.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        Report::WatchFailed { incomplete_for, failure: self.failure }
     }
 }
 
-/// What is wrong with what discovery has sent.
-struct BadAnswer {
+/// A response from discovery that can't be used, and the reason for the log.
+struct BadResponse {
     failure: CallFailure,
-    why: String,
+    message: String,
 }
 
-impl BadAnswer {
-    fn unreadable(why: impl Into<String>) -> BadAnswer {
-        BadAnswer { failure: CallFailure::Unreadable, why: why.into() }
+impl BadResponse {
+    fn unreadable(message: impl Into<String>) -> BadResponse {
+        BadResponse { failure: CallFailure::Unreadable, message: message.into() }
     }
 }
 
-/// The watch, and the list that it goes on from.
+/// The discovery service of one pool: the watch on it, and the list received so far.
 pub struct Discovery {
     address: SocketAddr,
-    held: HeldList,
+    hosts: DiscoveredHosts,
     watch: Option<Box<Watch>>,
-    /// How the last watch or call ended, until the next one is made.
-    ended: Option<Ended>,
+    /// The failure of the last watch or call; `None` before the first one has failed. It is only read while
+    /// no call is open.
+    last_failure: Option<WatchFailure>,
 }
 
 impl Discovery {
+    /// Starts from the list that the process already has, if any. No call is made yet.
     pub fn new(address: SocketAddr, known: Option<&HostList>) -> Discovery {
-        Discovery { address, held: HeldList::new(known), watch: None, ended: None }
+        Discovery { address, hosts: DiscoveredHosts::new(known), watch: None, last_failure: None }
     }
 
-    /// The list as it is held now.
-    pub fn held(&self) -> HostList {
-        self.held.whole()
+    /// The whole list as received so far.
+    pub fn current_list(&self) -> HostList {
+        self.hosts.full_list()
     }
 
-    /// Where it answers.
+    /// The address of the discovery service.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether its watch is the one of this number.
-    pub fn watches(&self, number: u64) -> bool {
+    /// Whether the open call is the one with this number.
+    pub fn has_watch(&self, number: u64) -> bool {
         self.watch.as_ref().is_some_and(|w| w.number == number)
     }
 
-    /// News that nothing has changed, where an open watch says so.
-    pub fn watched(&self) -> Option<HostList> {
-        self.watch.as_ref().filter(|w| w.heard.is_some()).map(|_| self.held.unchanged())
+    /// A list without changes, which confirms the present list to the module; `None` unless a watch is open.
+    pub fn confirmation(&self) -> Option<HostList> {
+        self.watch.as_ref().filter(|w| w.last_data_at.is_some()).map(|_| self.hosts.empty_change())
     }
 
-    /// How the watch stands, for a module that takes it over; `None`: its call is out, or none was made yet.
-    pub fn standing(&self, now: Instant) -> Option<Report> {
+    /// The report that a module gets when it takes this watch over: a confirmation if the watch is open, else
+    /// the last failure. `None` while a call has no answer yet, or before the first call.
+    pub fn watch_report(&self, now: Instant) -> Option<Report> {
         match self.watch {
-            Some(_) => self.watched().map(Report::List),
-            None => self.ended.map(|ended| ended.report(now)),
+            Some(_) => self.confirmation().map(Report::List),
+            None => self.last_failure.map(|failed| failed.report(now)),
         }
     }
 
-    /// When silence ends the watch.
+    /// When the watch is given up if no list or empty line arrives; `None` without a call.
     pub fn deadline(&self) -> Option<Instant> {
         self.watch.as_ref().map(|w| w.deadline)
     }
 }
 
-/// An answer that is no 200.
-fn bad_status(bad: Bad) -> BadAnswer {
+/// The failure for a response whose status is not 200.
+fn bad_status(bad: Bad) -> BadResponse {
     const SERVICE_UNAVAILABLE: u16 = 503;
     let failure = match bad.0 {
         SERVICE_UNAVAILABLE => CallFailure::Busy,
         _ => CallFailure::OtherStatus,
     };
-    BadAnswer { failure, why: format!("answered {}", bad.0) }
+    BadResponse { failure, message: format!("answered {}", bad.0) }
 }
 
 impl Proxy {
+    /// The discovery service of a pool; `None` if its nodes come from somewhere else.
     fn discovery(&mut self, pool: PoolId) -> Option<&mut Discovery> {
         match &mut self.pools.get_mut(pool)?.source {
             Source::Watch(discovery) => Some(discovery),
@@ -159,36 +177,39 @@
         }
     }
 
-    /// Goes over to a discovery service at another address. What its versions count is its own affair, so it
-    /// is asked for all, and soon: what it has to tell must not wait for the old one to go away. The module says when,
-    /// as all processes that share it may go over in one moment.
-    pub fn follow_discovery(&mut self, pool: PoolId, address: SocketAddr) {
+    /// Switches to a discovery service at another address. Each service counts its own versions, so the whole
+    /// list is requested, and soon: the new service's list must not wait until the old service disconnects.
+    /// The module decides when, as all processes that share the service may switch at the same moment.
+    pub fn change_discovery_address(&mut self, pool: PoolId, address: SocketAddr) {
         let Some(old) = self.discovery(pool).map(|d| d.address).filter(|old| *old != address) else { return };
-        info!(self.net.log, "discovery has moved"; "from" => %old, "to" => %address);
-        self.leave_watch(pool);
+        info!(self.net.log, "discovery has moved to another address"; "from" => %old, "to" => %address);
+        self.abandon_watch(pool);
         if let Some(discovery) = self.discovery(pool) {
             discovery.address = address;
-            discovery.held.change_service();
+            discovery.hosts.change_service();
         }
-        for p in self.pools.told_by(pool) {
-            p.queue(Report::DiscoveryMoved, Instant::now());
+        for p in self.pools.sharing_source(pool) {
+            p.queue_report(Report::DiscoveryMoved, Instant::now());
         }
     }
 
-    /// Asks for changes from the version held on, unless a watch is there; then that one is told of.
+    /// Asks discovery for changes since the version received last. If a watch is open already, its list is
+    /// confirmed to the module instead.
     pub fn start_watch(&mut self, pool: PoolId) {
         let number = self.net.number();
-        if let Some(unchanged) = self.discovery(pool).and_then(|d| d.watched()) {
-            return self.tell_of_hosts(pool, unchanged);
+        if let Some(unchanged) = self.discovery(pool).and_then(|d| d.confirmation()) {
+            return self.queue_list(pool, unchanged);
         }
-        let Some((address, version)) =
-            self.discovery(pool).filter(|d| d.watch.is_none()).map(|d| (d.address, d.held.ask_from()))
+        let Some((address, version)) = self
+            .discovery(pool)
+            .filter(|d| d.watch.is_none())
+            .map(|d| (d.address, d.hosts.next_request_version()))
         else {
             return;
         };
         let ready = move |proxy: &mut Proxy, r: calloop::Readiness| {
-            // Another pool may have taken the watch over.
-            if let Some(pool) = proxy.pools.watching(number) {
+            // Another pool may have taken over the watch.
+            if let Some(pool) = proxy.pools.with_watch(number) {
                 proxy.discovery_ready(pool, number, r.writable);
             }
         };
@@ -197,7 +218,11 @@
             Err(e) => {
                 let local = is_local_shortage(&e);
                 let failure = if local { CallFailure::NoSocket } else { CallFailure::NoConnection };
-                return self.watch_ended(pool, Ended { failure, complete_until: None }, &e.to_string());
+                return self.watch_failed(
+                    pool,
+                    WatchFailure { failure, complete_until: None },
+                    &e.to_string(),
+                );
             }
         };
         let output =
@@ -208,135 +233,157 @@
         if let Some(discovery) = self.discovery(pool) {
             discovery.watch = Some(Box::new(Watch {
                 number,
-                asked: Instant::now(),
+                called_at: Instant::now(),
                 socket,
                 output: output.into_bytes(),
                 written: 0,
                 input: Vec::new(),
                 chunks: None,
-                text: Vec::new(),
-                heard: None,
-                complete: None,
+                list_text: Vec::new(),
+                last_data_at: None,
+                complete_as_of: None,
                 deadline,
             }));
         }
     }
 
-    /// Ends a pool's watch, if there is one.
-    pub fn end_watch(&mut self, pool: PoolId) {
+    /// Closes a pool's connection to discovery, if there is one.
+    pub fn close_watch(&mut self, pool: PoolId) {
         if let Some(watch) = self.discovery(pool).and_then(|d| d.watch.take()) {
             self.net.unwatch(watch.socket);
         }
     }
 
-    /// The connection to discovery has ended.
-    fn connection_ended(&mut self, pool: PoolId, ending: Ending, why: &str) {
+    /// Reports that the connection to discovery has ended, with the failure that this means.
+    fn discovery_connection_ended(&mut self, pool: PoolId, ending: ConnectionEnd, why: &str) {
         let Some(watch) = self.discovery(pool).and_then(|d| d.watch.as_ref()) else { return };
-        let ended = Ended { failure: watch.failure(ending), complete_until: watch.complete };
-        self.watch_ended(pool, ended, why);
+        let failed = WatchFailure { failure: watch.failure(ending), complete_until: watch.complete_as_of };
+        self.watch_failed(pool, failed, why);
     }
 
-    /// Discovery has sent what can't be used.
-    fn answer_failed(&mut self, pool: PoolId, bad: BadAnswer) {
+    /// Reports a response from discovery that can't be used, and closes the connection.
+    fn discovery_response_failed(&mut self, pool: PoolId, bad: BadResponse) {
         let watch = self.discovery(pool).and_then(|d| d.watch.as_ref());
-        let complete_until = watch.and_then(|w| w.complete);
-        self.watch_ended(pool, Ended { failure: bad.failure, complete_until }, &bad.why);
+        let complete_until = watch.and_then(|w| w.complete_as_of);
+        self.watch_failed(pool, WatchFailure { failure: bad.failure, complete_until }, &bad.message);
     }
 
-    /// Ends a watch that is not wanted any more; what it may have missed, the module hears.
-    fn leave_watch(&mut self, pool: PoolId) {
+    /// Closes a watch that is no longer wanted. If it was open, the module gets a failure report, as changes
+    /// may have been missed.
+    fn abandon_watch(&mut self, pool: PoolId) {
         let watch = self.discovery(pool).and_then(|d| d.watch.as_ref());
-        if watch.is_some_and(|w| w.heard.is_some()) {
-            self.connection_ended(pool, Ending::Broken, "discovery has moved");
+        if watch.is_some_and(|w| w.last_data_at.is_some()) {
+            self.discovery_connection_ended(pool, ConnectionEnd::Broken, "discovery has moved");
         }
-        self.end_watch(pool);
+        self.close_watch(pool);
     }
 
-    fn watch_ended(&mut self, pool: PoolId, ended: Ended, why: &str) {
+    /// Logs and counts the failure of a watch or call, closes it, and queues the failure for the modules that
+    /// use it.
+    fn watch_failed(&mut self, pool: PoolId, failed: WatchFailure, why: &str) {
         let watch = self.discovery(pool).and_then(|d| d.watch.as_ref());
         let call = watch.map(|w| w.number);
-        let lasted = watch.map_or(0, |w| w.asked.elapsed().as_millis());
-        let was_open = watch.is_some_and(|w| w.heard.is_some());
+        let lasted = watch.map_or(0, |w| w.called_at.elapsed().as_millis());
+        let was_open = watch.is_some_and(|w| w.last_data_at.is_some());
         let now = Instant::now();
-        let silent = ended.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        warn!(self.net.log, "the watch on discovery failed"; "why" => why, "call" => call, "after_ms" => lasted,
-            "was_open" => was_open, "silent_ms" => silent.as_millis(), "failure" => ?ended.failure);
+        let incomplete_for =
+            failed.complete_until.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        warn!(self.net.log, "the watch on discovery failed"; "why" => why, "call" => call,
+            "after_ms" => lasted,
+            "was_open" => was_open, "silent_ms" => incomplete_for.as_millis(), "failure" => ?failed.failure);
         self.stats.discovery_failed();
-        self.end_watch(pool);
+        self.close_watch(pool);
         if let Some(discovery) = self.discovery(pool) {
-            discovery.ended = Some(ended);
+            discovery.last_failure = Some(failed);
         }
-        for p in self.pools.told_by(pool) {
-            p.queue(ended.report(now), now);
+        for p in self.pools.sharing_source(pool) {
+            p.queue_report(failed.report(now), now);
         }
     }
 
-    /// The head of an answer has come.
-    fn discovery_answers(&mut self, pool: PoolId) {
-        for p in self.pools.told_by(pool) {
-            p.queue(Report::DiscoveryAnswerStarted, Instant::now());
+    /// Reports to the modules that the head of a response has been received.
+    fn discovery_response_started(&mut self, pool: PoolId) {
+        for p in self.pools.sharing_source(pool) {
+            p.queue_report(Report::DiscoveryAnswerStarted, Instant::now());
         }
     }
 
-    /// Has a pool, and those that hear with it, told of a list.
-    fn tell_of_hosts(&mut self, pool: PoolId, list: HostList) {
-        for p in self.pools.told_by(pool) {
-            p.queue(Report::List(list.clone()), Instant::now());
+    /// Queues a list for a pool and for all pools that share its source.
+    fn queue_list(&mut self, pool: PoolId, list: HostList) {
+        for p in self.pools.sharing_source(pool) {
+            p.queue_report(Report::List(list.clone()), Instant::now());
         }
     }
 
-    /// Silence: the connection may be dead without saying so.
-    pub fn expire_discovery(&mut self, pool: PoolId, now: Instant) {
+    /// Ends a watch whose deadline has passed: a connection may be dead without any error on it.
+    pub fn expire_watch(&mut self, pool: PoolId, now: Instant) {
         let Some(watch) = self.discovery(pool).and_then(|d| d.watch.as_ref()) else { return };
         if watch.deadline <= now {
-            self.connection_ended(pool, Ending::TimedOut, "silence");
+            self.discovery_connection_ended(pool, ConnectionEnd::TimedOut, "silence");
         }
     }
 
+    /// Writes the request and reads the response when the socket of this call is readable or writable.
     fn discovery_ready(&mut self, pool: PoolId, number: u64, writable: bool) {
         let answer_by = Instant::now() + self.net.limits.discovery_response_timeout;
-        let mine = |d: &&mut Discovery| d.watches(number);
-        let Some(watch) = self.discovery(pool).filter(&mine).and_then(|d| d.watch.as_mut()) else { return };
+        let is_this_call = |d: &&mut Discovery| d.has_watch(number);
+        let Some(watch) = self.discovery(pool).filter(&is_this_call).and_then(|d| d.watch.as_mut()) else {
+            return;
+        };
         if watch.written < watch.output.len() && writable {
             watch.deadline = answer_by;
             if let Err(e) = crate::write(&watch.socket.stream, &watch.output, &mut watch.written) {
-                return self.connection_ended(pool, Ending::Broken, &e.to_string());
+                return self.discovery_connection_ended(pool, ConnectionEnd::Broken, &e.to_string());
             }
         }
         if watch.written == 0 {
             if let Ok(Some(e)) = watch.socket.stream.take_error() {
-                self.connection_ended(pool, Ending::Broken, &e.to_string());
+                self.discovery_connection_ended(pool, ConnectionEnd::Broken, &e.to_string());
             }
             return;
         }
         loop {
-            let most = self.net.limits.read_chunk_bytes.max(self.net.limits.max_head_bytes);
-            // The input is taken out while it is read into: the pools and the scratch space are both of the proxy.
-            let Some(watch) = self.discovery(pool).filter(&mine).and_then(|d| d.watch.as_mut()) else {
+            let max_bytes = self.net.limits.read_chunk_bytes.max(self.net.limits.max_head_bytes);
+            // The input buffer is moved out while bytes are read into it, as pools and scratch buffer both
+            // belong to `self`.
+            let Some(watch) = self.discovery(pool).filter(&is_this_call).and_then(|d| d.watch.as_mut())
+            else {
                 return;
             };
             let (stream, mut input) = (watch.socket.stream.clone(), std::mem::take(&mut watch.input));
-            let reading = self.net.read(&stream, &mut input, most);
-            let more = input.len() > most;
+            let reading = self.net.read(&stream, &mut input, max_bytes);
+            let has_more = input.len() > max_bytes;
             if let Some(watch) = self.discovery(pool).and_then(|d| d.watch.as_mut()) {
                 watch.input = input;
             }
-            if let Err(bad) = self.discovery_input(pool) {
-                return self.answer_failed(pool, bad);
+            if let Err(bad) = self.process_discovery_input(pool) {
+                return self.discovery_response_failed(pool, bad);
             }
             match reading {
-                Reading::Open if more => {}
+                Reading::Open if has_more => {}
                 Reading::Open => return,
-                Reading::Ended => return self.connection_ended(pool, Ending::Closed, "discovery ended it"),
+                Reading::Ended => {
+                    return self.discovery_connection_ended(
+                        pool,
+                        ConnectionEnd::Closed,
+                        "discovery closed the connection",
+                    )
+                }
                 Reading::Broken => {
-                    return self.connection_ended(pool, Ending::Broken, "its connection broke")
+                    return self.discovery_connection_ended(
+                        pool,
+                        ConnectionEnd::Broken,
+                        "its connection broke",
+                    )
                 }
             }
         }
     }
 
-    fn discovery_input(&mut self, pool: PoolId) -> Result<(), BadAnswer> {
-        let (limits, log, looked) = (self.net.limits.clone(), self.net.log.clone(), self.net.rounds.looked());
+    /// Decodes the bytes received, and applies and queues the lists that are complete.
+    fn process_discovery_input(&mut self, pool: PoolId) -> Result<(), BadResponse> {
+        let (limits, log, last_polled) =
+            (self.net.limits.clone(), self.net.log.clone(), self.net.rounds.last_polled_at());
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         if watch.chunks.is_none() {
@@ -344,68 +391,71 @@
             let Some(n) = head.map_err(bad_status)? else { return Ok(()) };
             watch.input.drain(..n);
             watch.chunks = Some(Chunks::default());
-            self.discovery_answers(pool);
+            self.discovery_response_started(pool);
         }
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         let Some(chunks) = watch.chunks.as_mut() else { return Ok(()) };
-        let before = watch.text.len();
-        let used = chunks.read(&watch.input, limits.max_discovery_line_bytes, &limits, &mut watch.text);
-        let used = used.map_err(|_| BadAnswer::unreadable("its chunks make no sense"))?;
+        let before = watch.list_text.len();
+        let used = chunks.read(&watch.input, limits.max_discovery_line_bytes, &limits, &mut watch.list_text);
+        let used =
+            used.map_err(|_| BadResponse::unreadable("the chunked encoding of its answer is malformed"))?;
         watch.input.drain(..used);
-        let done = chunks.done;
+        let is_finished = chunks.done;
         let (mut lists, mut result) = (Vec::new(), Ok(()));
-        // An empty line between lists says that nothing has changed.
-        let mut alive = watch.text.contains(&b'\n') && watch.text.trim_ascii().is_empty();
-        // A list ends with a brace: what has brought none of them is not whole yet, unless it is no list at all.
-        let opens = watch.text.trim_ascii_start().first().is_none_or(|&b| b == b'{');
-        if watch.text[before..].contains(&b'}') || !opens || alive {
-            (lists, result) = drain_host_lists(&mut watch.text);
-            alive |= !lists.is_empty();
+        // An empty line between lists means that nothing has changed.
+        let mut has_data = watch.list_text.contains(&b'\n') && watch.list_text.trim_ascii().is_empty();
+        // A list ends with a brace, so text without a new one can't complete a list; text that does not begin
+        // with a brace is no list at all, and is parsed to report that.
+        let may_be_list = watch.list_text.trim_ascii_start().first().is_none_or(|&b| b == b'{');
+        if watch.list_text[before..].contains(&b'}') || !may_be_list || has_data {
+            (lists, result) = drain_host_lists(&mut watch.list_text);
+            has_data |= !lists.is_empty();
         }
-        let mut first = false;
+        let mut is_first_data = false;
         let now = Instant::now();
-        let as_of = if watch.heard.is_none() { watch.asked } else { looked };
-        if alive {
-            first = watch.heard.replace(now).is_none();
+        let as_of = if watch.last_data_at.is_none() { watch.called_at } else { last_polled };
+        if has_data {
+            is_first_data = watch.last_data_at.replace(now).is_none();
             watch.deadline = now + limits.discovery_idle_timeout;
         }
-        let told = lists.len();
+        let received = lists.len();
         let mut older = false;
         lists = lists
             .into_iter()
-            .filter_map(|list| match discovery.held.take(&list, as_of, now) {
-                Taken::Applied(list) => Some(list),
-                Taken::Older(departures) => {
+            .filter_map(|list| match discovery.hosts.receive_list(&list, as_of, now) {
+                ListOutcome::Applied(list) => Some(list),
+                ListOutcome::Older(departures) => {
                     older = true;
                     Some(departures).filter(|d| !d.hosts.is_empty())
                 }
             })
             .collect();
-        if alive && !older {
-            watch.complete = Some(as_of);
+        if has_data && !older {
+            watch.complete_as_of = Some(as_of);
         }
-        if alive {
-            lists.extend(discovery.held.release(now));
+        if has_data {
+            lists.extend(discovery.hosts.release_withheld(now));
         }
-        if first && told == 0 {
+        if is_first_data && received == 0 {
             // An empty line is an answer, too: the watch is open, and nothing has changed.
-            lists.push(discovery.held.unchanged());
+            lists.push(discovery.hosts.empty_change());
         }
-        let call = (watch.number, watch.asked.elapsed().as_millis());
+        let call = (watch.number, watch.called_at.elapsed().as_millis());
         for list in lists {
-            info!(log, "hosts"; "seq" => list.seq, "whole" => list.whole, "entries" => list.hosts.len(),
+            info!(log, "a list of hosts was received from discovery"; "seq" => list.seq,
+                "whole" => list.whole, "entries" => list.hosts.len(),
                 "call" => call.0, "after_ms" => call.1);
-            self.tell_of_hosts(pool, list);
+            self.queue_list(pool, list);
         }
-        result.map_err(|e| BadAnswer::unreadable(format!("a list makes no sense: {e}")))?;
+        result.map_err(|e| BadResponse::unreadable(format!("a list can't be parsed: {e}")))?;
         if older {
-            return Err(BadAnswer::unreadable(
-                "a list is older than the one held, which stays in force but for hosts that leave",
+            return Err(BadResponse::unreadable(
+                "a list is older than the present one, which stays in force except for hosts that leave",
             ));
         }
-        if done {
-            self.connection_ended(pool, Ending::Closed, "discovery ended it");
+        if is_finished {
+            self.discovery_connection_ended(pool, ConnectionEnd::Closed, "discovery closed the connection");
         }
         Ok(())
     }
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -3,11 +3,11 @@
 use crate::admission::{Admitted, Labels, RouteInForce, Unfit, RETURN_AFTER};
 use crate::callers::ListenerId;
 use crate::http::{Answer, Bad, Request};
-use crate::lease::Lease;
 use crate::pools::{Pool, PoolId};
 use crate::reasons::RefusalReason;
+use crate::reservation::Reservation;
 use crate::stats::Outcome;
-use crate::upstreams::{Attempt, Ended, Target};
+use crate::upstreams::{Attempt, AttemptResult, Target};
 use crate::{ConnId, Proxy};
 use garnettally_config::file::format::LogRequests;
 use garnettally_decisions::facade::{Code, Decision, ListFreshness, Micros, PickRequest, Report, RequestId};
@@ -51,7 +51,7 @@
     pin: Option<(u64, Micros)>,
     pin_number: u64,
     /// Its place in the limits.
-    lease: Lease,
+    lease: Reservation,
     listener: Option<ListenerId>,
     route: Option<Rc<RouteInForce>>,
     labels: Option<Labels>,
@@ -107,8 +107,8 @@
     /// Whether a request could be served.
     pub fn ready(&self) -> bool {
         let now = self.net.clock.at(Instant::now());
-        let is_ready = |p: &Pool| p.ready && !p.leaving && p.is_started(now);
-        self.pools.iter().any(is_ready) && !self.shutdown.closing() && !self.admin.draining()
+        let is_ready = |p: &Pool| p.was_ready && !p.is_retired && p.is_started(now);
+        self.pools.iter().any(is_ready) && !self.shutdown.is_closing() && !self.admin.draining()
     }
 
     /// Takes a request, or says why it can't be taken.
@@ -139,13 +139,13 @@
         listener: ListenerId,
         request: &mut Request,
         now: Instant,
-    ) -> Result<(Admitted, Lease), Unfit> {
+    ) -> Result<(Admitted, Reservation), Unfit> {
         let a = self.admit(request, now)?;
         if self.exchanges.ids.contains(&a.id) {
             return Err(Unfit::Bad(Bad(400)));
         }
         let holders = self.holders(a.pool, a.route.as_deref(), self.callers.request_holder(listener));
-        match self.budgets.requests.take(&holders) {
+        match self.budgets.requests.reserve(&holders) {
             Ok(lease) => Ok((a, lease)),
             Err(_) => Err(Unfit::Refused { retry_after: Some(RETURN_AFTER), route: a.route }),
         }
@@ -154,7 +154,7 @@
     fn enter(
         &mut self,
         a: Admitted,
-        lease: Lease,
+        lease: Reservation,
         caller: ConnId,
         listener: ListenerId,
         request: Request,
@@ -174,7 +174,7 @@
         caller: Option<ConnId>,
         listener: Option<ListenerId>,
         request: Rc<Request>,
-        lease: Lease,
+        lease: Reservation,
         now: Instant,
     ) -> RequestId {
         let micros = |d: Duration| Micros(d.as_micros() as i64);
@@ -184,7 +184,7 @@
             request: number,
             class: a.class,
             tenant: a.tenant,
-            expires: self.shutdown.answer_by().map_or(expires, |by| expires.min(self.net.clock.at(by))),
+            expires: self.shutdown.respond_by().map_or(expires, |by| expires.min(self.net.clock.at(by))),
             cost: a.cost.map(micros).filter(|c| c.0 > 0),
             repeat: a.repeat,
             key: a.subject,
@@ -220,8 +220,8 @@
     fn enter_pool(&mut self, number: RequestId, mut exchange: Exchange, now: Instant) {
         exchange.ask.request = number;
         if let Some(pool) = self.pools.get_mut(exchange.pool) {
-            pool.open += 1;
-            pool.add(News::Asked(exchange.ask), now);
+            pool.unfinished_requests += 1;
+            pool.queue_input(News::Asked(exchange.ask), now);
         }
         self.exchanges.open.insert(number, exchange);
     }
@@ -229,7 +229,7 @@
     /// Sends a copy to a shadow pool, if there is room: it takes no part in the limits of what it copies.
     fn mirror(&mut self, shadow: PoolId, a: &Admitted, request: &Rc<Request>, now: Instant) {
         let Some(pool) = self.pools.get(shadow) else { return };
-        let Ok(lease) = self.budgets.copies.take(&[Some(pool.copies)]) else { return };
+        let Ok(lease) = self.budgets.copies.reserve(&[Some(pool.copies)]) else { return };
         let copy = Admitted {
             id: a.id.clone(),
             class: a.class,
@@ -264,7 +264,7 @@
     fn drop_unwritten(&mut self, request: RequestId) {
         let sends = self.exchanges.open.get(&request).filter(|x| x.out > 0).map_or(0, |x| x.sends);
         for attempt in 0..sends {
-            if let Some(ended) = self.upstreams.drop_unwritten(&self.net, (request, attempt)) {
+            if let Some(ended) = self.upstreams.cancel_unwritten(&self.net, (request, attempt)) {
                 self.attempt_ended(ended);
             }
         }
@@ -288,8 +288,8 @@
 
     /// An upstream takes nothing new any more: what has not begun there goes elsewhere.
     pub fn leave_upstream(&mut self, target: Target) {
-        for attempt in self.upstreams.unbegun(target) {
-            if let Some(ended) = self.upstreams.drop_unwritten(&self.net, attempt) {
+        for attempt in self.upstreams.unwritten_attempts(target) {
+            if let Some(ended) = self.upstreams.cancel_unwritten(&self.net, attempt) {
                 self.attempt_ended(ended);
             }
         }
@@ -298,13 +298,13 @@
     fn queue_for(&mut self, request: RequestId, report: Report) {
         let pool = self.exchanges.open.get(&request).map(|x| x.pool);
         if let Some(pool) = pool.and_then(|id| self.pools.get_mut(id)) {
-            pool.queue(report, Instant::now());
+            pool.queue_report(report, Instant::now());
         }
     }
 
     /// An attempt has ended: the first one served is the answer, at once, and so is the word that the request
     /// itself is at fault. The rest is for the module.
-    pub fn attempt_ended(&mut self, ended: Ended) {
+    pub fn attempt_ended(&mut self, ended: AttemptResult) {
         let (request, attempt) = ended.attempt;
         let Some(x) = self.exchanges.open.get_mut(&request) else { return };
         x.out -= 1;
@@ -320,7 +320,7 @@
             self.pins.attempt_never_ran(key, x.pin_number);
         }
         if let Some(target) = ended.target {
-            self.note_health(target, ended.code, Instant::now());
+            self.record_attempt_result(target, ended.code, Instant::now());
         }
         let copy = self.exchanges.open.get(&request).is_some_and(|x| x.caller.is_none());
         let passed = match ended.code {
@@ -330,9 +330,9 @@
         let answered = over || passed.is_some() || (copy && matches!(ended.code, Code::Ok | Code::Rejected));
         debug!(self.net.log, "ended"; "request" => request.0, "attempt" => attempt, "code" => ?ended.code,
             "upstream" => ended.target.map_or("", |t| self.upstream_name(t)),
-            "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
+            "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.local_delay.as_secs_f64() * 1e3);
         let held = ended.answer.as_ref().and_then(|a| a.held);
-        let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
+        let (code, latency, held_up) = (ended.code, ended.latency, ended.local_delay);
         let report = Report::Ended {
             request,
             attempt,
@@ -364,7 +364,8 @@
     fn consultation(&self, pool: PoolId) -> Option<Instant> {
         let pool = self.pools.get(pool)?;
         let due = pool.decisions.next_tick().map(|at| self.net.clock.instant(self.round_up(at)));
-        let news = pool.first_news().map(|at| self.net.clock.instant(self.round_up(self.net.clock.at(at))));
+        let news =
+            pool.first_queued_at().map(|at| self.net.clock.instant(self.round_up(self.net.clock.at(at))));
         due.into_iter().chain(news).min()
     }
 
@@ -388,14 +389,14 @@
     fn consult_pool(&mut self, id: PoolId, at: Instant) {
         let now = self.net.clock.at(at);
         let Some(pool) = self.pools.get_mut(id) else { return };
-        for news in pool.take_news() {
+        for news in pool.take_queued() {
             let ended = match &news {
                 News::Known(Report::Ended { request, .. } | Report::ClientLeft(request)) => Some(*request),
                 _ => None,
             };
             let decisions = match news {
                 News::Asked(ask) => self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.pick(now, ask)),
-                News::Known(report) => self.tell(id, now, report),
+                News::Known(report) => self.apply_report(id, now, report),
             };
             self.carry_out(id, decisions);
             if let Some(request) = ended {
@@ -405,13 +406,13 @@
         // Time last, as in the simulator: what came in by now may have made room for what waits.
         let tick = self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.tick(now));
         self.carry_out(id, tick);
-        self.note_list_standing(id, now);
+        self.log_list_freshness(id, now);
     }
 
     fn forget(&mut self, request: RequestId) {
         if self.exchanges.open.get(&request).is_some_and(|x| x.over && x.out == 0) {
             if let Some(x) = self.exchanges.open.remove(&request) {
-                self.pool_let_go(x.pool);
+                self.pool_request_finished(x.pool);
             }
         }
     }
@@ -441,7 +442,14 @@
         let attempt = (request, x.sends);
         (x.sends, x.out) = (x.sends + 1, x.out + 1);
         let zero = Duration::ZERO;
-        let unsent = |code| Ended { attempt, target: None, code, latency: zero, held_up: zero, answer: None };
+        let unsent = |code| AttemptResult {
+            attempt,
+            target: None,
+            code,
+            latency: zero,
+            local_delay: zero,
+            answer: None,
+        };
         if x.over {
             return self.attempt_ended_unpinned(unsent(Code::Moot));
         }
@@ -467,7 +475,7 @@
     }
 
     /// An attempt that the pins know nothing of has ended unsent.
-    fn attempt_ended_unpinned(&mut self, ended: Ended) {
+    fn attempt_ended_unpinned(&mut self, ended: AttemptResult) {
         let request = ended.attempt.0;
         let pin = self.exchanges.open.get_mut(&request).and_then(|x| x.pin.take());
         self.attempt_ended(ended);
@@ -484,7 +492,7 @@
         let Some(x) = self.exchanges.open.get_mut(&request).filter(|x| !x.over) else { return };
         let free = x.out == 0 && !x.may_have_run && x.ask.expires > at;
         while let Some(next) = (!x.others.is_empty() && free).then(|| x.others.remove(0)) {
-            let serves = self.pools.get(next).is_some_and(|p| p.serves());
+            let serves = self.pools.get(next).is_some_and(|p| p.can_serve());
             let bound =
                 x.pin.and_then(|(key, _)| self.pins.get(at, key)).is_some_and(|(pool, _)| pool != next);
             if !serves || bound {
@@ -493,9 +501,9 @@
             let of_listener = x.listener.and_then(|l| self.callers.request_holder(l));
             let of_pool = self.pools.get(next).map(|p| p.requests);
             let holders = [of_pool, x.route.as_ref().map(|r| r.holder), of_listener];
-            let Ok(lease) = self.budgets.requests.take(&holders) else { continue };
+            let Ok(lease) = self.budgets.requests.reserve(&holders) else { continue };
             let Some(mut x) = self.exchanges.open.remove(&request) else { return };
-            self.pool_let_go(x.pool);
+            self.pool_request_finished(x.pool);
             x.lease = lease;
             let (number, caller) = (self.exchanges.number(), x.caller);
             x.pool = next;
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -1,13 +1,13 @@
-//! The fleet's wiring: the link on the event loop, what it tells in the log, in `/members` and in `/stats`. It hands
-//! values over and knows nothing of requests.
+//! Connects the fleet's link to the event loop, the log, `/members` and `/stats`. This file passes values
+//! between them and handles no requests.
 
-use crate::duties::{FleetDuties, Stored};
-use crate::export::{Export, Figures};
+use crate::duties::{FleetDuties, StoreCompletion};
+use crate::export::{Export, MemberCounters};
 use crate::pools::PoolId;
 use crate::{Net, Proxy};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
-use garnettally_config::file::Fleet as Settings;
+use garnettally_config::file::Fleet as FleetSettings;
 use garnettally_decisions::facade::{Decisions, Micros, ServerId};
 use garnettally_link::{Link, LinkError, LinkSettings};
 use garnettally_model::PeerVerdict;
@@ -23,68 +23,75 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// Between two looks at what modules have found and what members say: a quarter of a module's period.
-const LOOK: Duration = Duration::from_millis(50);
-/// The same for what members say, while nothing is new: it only grows old.
-const LOOK_ANYWAY: Duration = Duration::from_millis(500);
+/// How often claims are collected from the modules and merged with other members' claims: a quarter of a
+/// module's period.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(50);
+/// How often claims are merged while no new fact has arrived: the present ones only age.
+const UNCHANGED_MERGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// This process as a member of the fleet.
 pub struct Fleet {
+    /// The connection to the other members.
     link: Link,
-    /// As it was started: what else a reload says holds from the next start on.
-    settings: Settings,
-    /// One for each pool.
+    /// The settings at the start; later changes, except of keys, apply from the next start on.
+    settings: FleetSettings,
+    /// The exchange of verdicts of each pool.
     exchanges: BTreeMap<PoolId, VerdictExchange>,
-    /// Names by their hashes: of pools and classes, and of nodes, by pool.
+    /// Names by their hashes, as claims carry only hashes. The first hash of the key is 0 for pools and
+    /// classes, and the pool's hash for nodes.
     names: FxHashMap<(u64, u64), String>,
+    /// This member's part in the fleet's duties, if the file names any.
     duties: Option<FleetDuties>,
+    /// The export duty, if the file names a sink.
     export: Option<Export>,
-    look_at: Instant,
-    /// The look that is due was put off already.
+    /// When verdicts are exchanged next.
+    next_exchange_at: Instant,
+    /// The exchange that is due has been postponed once already.
     is_postponed: bool,
-    /// Up to which fact, and when, what members say was last merged.
-    merged: (u64, Instant),
-    /// Verdicts that modules go by.
-    acted_on: u64,
+    /// The version of the facts at the last merge, and when that was.
+    last_merge: (u64, Instant),
+    /// How many verdicts the modules act on.
+    verdicts_in_use: u64,
 }
 
-/// One pool, as the exchange of verdicts sees it.
-pub struct Seen<'a> {
+/// One pool, as the exchange of verdicts reads it.
+pub struct PoolSnapshot<'a> {
     pub id: PoolId,
     pub name: &'a str,
     pub classes: &'a [String],
     pub decisions: &'a Decisions,
 }
 
-fn link_settings(s: &Settings) -> LinkSettings {
+/// The settings of the link, from those of the file.
+fn link_settings(settings: &FleetSettings) -> LinkSettings {
     let member = garnettally_peers::Settings {
-        seeds: s.seeds.clone(),
-        probe_period: s.probe_period,
-        suspicion_timeout: s.suspicion_timeout,
-        forget_after: s.forget_after,
-        ask_every: s.ask_every,
-        ask_peers: s.ask_peers,
-        // An answer that was under way for longer than a probe may be is as good as lost.
-        ask_timeout: s.probe_period,
-        max_age: s.max_age,
-        max_facts: s.max_facts,
-        max_members: s.max_members,
-        size_floor: s.size_floor,
-        size_hold: s.size_hold,
-        ..garnettally_peers::Settings::new(&s.name, &s.zone, s.advertise)
+        seeds: settings.seeds.clone(),
+        probe_period: settings.probe_period,
+        suspicion_timeout: settings.suspicion_timeout,
+        forget_after: settings.forget_after,
+        ask_every: settings.ask_every,
+        ask_peers: settings.ask_peers,
+        // An answer that takes longer than a probe may take is considered lost.
+        ask_timeout: settings.probe_period,
+        max_age: settings.max_age,
+        max_facts: settings.max_facts,
+        max_members: settings.max_members,
+        size_floor: settings.size_floor,
+        size_hold: settings.size_hold,
+        ..garnettally_peers::Settings::new(&settings.name, &settings.zone, settings.advertise)
     };
     LinkSettings {
         member,
-        bind_address: s.address,
-        key_file: s.key_file.clone(),
-        max_send_bytes_per_s: s.max_send_bytes_per_second,
-        max_receive_datagrams_per_s: s.max_receive_datagrams_per_second,
+        bind_address: settings.address,
+        key_file: settings.key_file.clone(),
+        max_send_bytes_per_s: settings.max_send_bytes_per_second,
+        max_receive_datagrams_per_s: settings.max_receive_datagrams_per_second,
     }
 }
 
 impl Fleet {
-    /// Joins the fleet.
-    pub fn start(net: &Net, settings: Settings) -> Result<Fleet, String> {
+    /// Opens the link, joins the fleet, and starts the duties.
+    pub fn start(net: &Net, settings: FleetSettings) -> Result<Fleet, String> {
         let link = Link::open(link_settings(&settings)).map_err(|e: LinkError| e.to_string())?;
         let source = Generic::new(link.socket(), Interest::READ, Mode::Level);
         let watched = net.handle.insert_source(source, |_, _, proxy: &mut Proxy| {
@@ -95,7 +102,8 @@
         });
         watched.map_err(|e| format!("fleet.address: {}", e.error))?;
         let me = link.own_identity();
-        info!(net.log, "a member of the fleet"; "member" => &me.name, "zone" => &me.zone, "address" => %me.address,
+        info!(net.log, "this process is a member of the fleet"; "member" => &me.name,
+            "zone" => &me.zone, "address" => %me.address,
             "life" => format!("{:016x}", me.boot), "keys" => settings.key_file.is_some());
         let now = Instant::now();
         let duties = settings.duties.clone().map(|plan| FleetDuties::start(net, plan, &link)).transpose()?;
@@ -107,172 +115,186 @@
             settings,
             exchanges: BTreeMap::new(),
             names: FxHashMap::default(),
-            look_at: now,
+            next_exchange_at: now,
             is_postponed: false,
-            merged: (0, now),
-            acted_on: 0,
+            last_merge: (0, now),
+            verdicts_in_use: 0,
         })
     }
 
-    /// What is due, after each round of the event loop.
-    pub fn turn(&mut self, net: &mut Net, own: Figures, now: Instant) {
+    /// Performs the work that is due, after each round of the event loop.
+    pub fn run_due_work(&mut self, net: &mut Net, own: MemberCounters, now: Instant) {
         self.link.run_due_timers();
         for event in self.link.take_events() {
-            tell(net, &event, self.link.alive_count());
+            log_event(net, &event, self.link.alive_count());
         }
         match &mut self.duties {
             Some(duties) => {
-                duties.turn(net, &mut self.link);
+                duties.run_due_work(net, &mut self.link);
                 if let Some(export) = &mut self.export {
-                    export.turn(net, &mut self.link, duties, own, now);
+                    export.run_due_work(net, &mut self.link, duties, own, now);
                 }
             }
-            // Nobody reads them here.
+            // Without duties there is no reader for messages.
             None => drop(self.link.take_messages()),
         }
     }
 
-    /// The export's connection has become readable or writable.
-    pub fn export_ready(&mut self, net: &mut Net, own: Figures, event: (u64, bool)) {
+    /// Handles the export's connection when it has become readable or writable.
+    pub fn export_ready(&mut self, net: &mut Net, own: MemberCounters, event: (u64, bool)) {
         if let (Some(export), Some(duties)) = (&mut self.export, &self.duties) {
-            export.ready(net, &self.link, duties, own, event);
+            export.on_socket_ready(net, &self.link, duties, own, event);
         }
     }
 
-    /// A voter's thread has answered.
-    pub(crate) fn stored(&mut self, done: Stored) {
+    /// Receives a result of the voter's store thread.
+    pub(crate) fn store_completed(&mut self, done: StoreCompletion) {
         if let Some(duties) = &mut self.duties {
-            duties.stored(done);
+            duties.store_completed(done);
         }
     }
 
-    /// This process is drained or ends, or takes part again.
-    pub fn drain(&mut self, drained: bool) {
+    /// Reports whether this process is being drained or shut down, so that its duties go to other members.
+    pub fn set_draining(&mut self, is_draining: bool) {
         if let Some(duties) = &mut self.duties {
-            duties.drain(drained);
+            duties.set_draining(is_draining);
         }
     }
 
-    /// `GET /duties`; `None`: the file names none.
-    pub fn duties(&self) -> Option<Value> {
-        self.duties.as_ref().map(|d| d.json(&self.link))
+    /// The body of `GET /duties`; `None` if the file names no duties.
+    pub fn duties_json(&self) -> Option<Value> {
+        self.duties.as_ref().map(|d| d.to_json(&self.link))
     }
 
-    /// An operator wants a duty at a member, or anywhere else. `None`: the file names no duties.
-    pub fn wish(&mut self, duty: &str, member: Option<&str>) -> Option<Result<(), String>> {
-        self.duties.as_mut().map(|d| d.wish(&self.link, duty, member))
+    /// Requests that a duty move to this member, or with `None` to any other member. Returns `None` if the
+    /// file names no duties.
+    pub fn request_move(&mut self, duty: &str, member: Option<&str>) -> Option<Result<(), String>> {
+        self.duties.as_mut().map(|d| d.request_move(&self.link, duty, member))
     }
 
+    /// When the next work is due.
     pub fn next_wake(&self) -> Instant {
-        let own = self.link.next_wake().min(self.look_at);
-        let own = self.export.as_ref().map_or(own, |e| e.next_wake().min(own));
-        self.duties.as_ref().map_or(own, |d| d.next_wake().min(own))
+        let wake = self.link.next_wake().min(self.next_exchange_at);
+        let wake = self.export.as_ref().map_or(wake, |e| e.next_wake().min(wake));
+        self.duties.as_ref().map_or(wake, |d| d.next_wake().min(wake))
     }
 
-    /// Whether [`Fleet::look`] is due.
-    pub fn looks(&self, now: Instant) -> bool {
-        self.look_at <= now
+    /// Whether [`Fleet::exchange_verdicts`] is due.
+    pub fn is_exchange_due(&self, now: Instant) -> bool {
+        self.next_exchange_at <= now
     }
 
-    /// Puts the look that is due off to this time, but not twice in a row. Whether it did.
-    pub fn postpone_look(&mut self, until: Instant) -> bool {
+    /// Postpones the exchange that is due to this time, but not twice in a row. Returns whether it did.
+    pub fn postpone_exchange(&mut self, until: Instant) -> bool {
         let postpones = !self.is_postponed;
         if postpones {
-            (self.look_at, self.is_postponed) = (until, true);
+            (self.next_exchange_at, self.is_postponed) = (until, true);
         }
         postpones
     }
 
-    /// Tells members what these pools' modules have found, and gives what each is to hear. `at` is their time.
-    pub fn look(
+    /// Publishes the findings of these pools' modules, and returns the verdicts that changed for each of
+    /// them. `at` is the modules' time.
+    pub fn exchange_verdicts(
         &mut self,
         log: &Logger,
         now: Instant,
         at: Micros,
-        pools: &[Seen<'_>],
+        pools: &[PoolSnapshot<'_>],
     ) -> Vec<(PoolId, PeerVerdict)> {
-        (self.look_at, self.is_postponed) = (now + LOOK, false);
+        (self.next_exchange_at, self.is_postponed) = (now + EXCHANGE_INTERVAL, false);
         self.exchanges.retain(|id, _| pools.iter().any(|p| p.id == *id));
         let max_age = Micros(self.settings.max_age.as_micros() as i64);
         for p in pools {
-            let e = self.exchanges.entry(p.id).or_insert_with(|| VerdictExchange::new(p.name, p.classes));
+            let exchange =
+                self.exchanges.entry(p.id).or_insert_with(|| VerdictExchange::new(p.name, p.classes));
             let name = |id: ServerId| p.decisions.upstream_name(id);
-            for n in e.known_node_count()..p.decisions.upstream_count() {
+            for n in exchange.known_node_count()..p.decisions.upstream_count() {
                 let name = name(ServerId(n as u32));
-                self.names.insert((e.pool_hash(), name_hash(name)), name.to_string());
+                self.names.insert((exchange.pool_hash(), name_hash(name)), name.to_string());
             }
-            e.register_nodes(p.decisions.upstream_count(), &name);
-            self.names.entry((0, e.pool_hash())).or_insert_with(|| p.name.to_string());
+            exchange.register_nodes(p.decisions.upstream_count(), &name);
+            self.names.entry((0, exchange.pool_hash())).or_insert_with(|| p.name.to_string());
             for class in p.classes {
                 self.names.entry((0, name_hash(class))).or_insert_with(|| class.to_string());
             }
             let findings = p.decisions.local_observations(at);
-            for (key, value, age) in e.collect_claims(at, &findings, max_age, name) {
+            for (key, value, age) in exchange.collect_claims(at, &findings, max_age, name) {
                 self.link.publish(&key, &value, Duration::from_micros(age.0.max(0) as u64));
             }
         }
         let version = self.link.facts_version();
-        if version == self.merged.0 && now < self.merged.1 + LOOK_ANYWAY {
+        if version == self.last_merge.0 && now < self.last_merge.1 + UNCHANGED_MERGE_INTERVAL {
             return Vec::new();
         }
-        self.merged = (version, now);
-        let said: Vec<MemberClaim> = self.link.facts().filter_map(|f| read(&f)).collect();
-        let priors = self.merge(&said, pools);
-        let mut heard = Vec::new();
+        self.last_merge = (version, now);
+        let claims: Vec<MemberClaim> = self.link.facts().filter_map(|f| read_claim(&f)).collect();
+        let merged = self.merge_member_claims(&claims, pools);
+        let mut verdicts = Vec::new();
         for p in pools {
-            if let Some(e) = self.exchanges.get_mut(&p.id) {
-                let told = e.update_verdicts(at, &priors, |id| p.decisions.upstream_started_at(id));
-                for h in &told {
-                    self.log_verdict(log, p, h, &said);
+            if let Some(exchange) = self.exchanges.get_mut(&p.id) {
+                let changed = exchange.update_verdicts(at, &merged, |id| p.decisions.upstream_started_at(id));
+                for verdict in &changed {
+                    self.log_verdict(log, p, verdict, &claims);
                 }
-                heard.extend(told.into_iter().map(|h| (p.id, h)));
+                verdicts.extend(changed.into_iter().map(|v| (p.id, v)));
             }
         }
-        // Not what members say, but what modules here are told: of their own pools, and of nodes in their present life.
-        self.acted_on = self.exchanges.values().map(|e| e.active_verdicts().count() as u64).sum();
-        heard
+        // This counts what modules here act on: verdicts on their own pools, and on nodes since their last
+        // start.
+        self.verdicts_in_use = self.exchanges.values().map(|e| e.active_verdicts().count() as u64).sum();
+        verdicts
     }
 
-    /// How many members the fleet is taken to have, and which of them, from 0, this one is: by the order of addresses,
-    /// stretched over the size, as members that are missing may come back.
-    pub fn share(&self) -> (u32, u32) {
+    /// The estimated size of the fleet, and this member's index in it, from 0: its position in the order of
+    /// addresses, scaled to the size, as missing members may come back.
+    pub fn size_and_index(&self) -> (u32, u32) {
         let (size, me) = (self.link.fleet_size(), self.link.own_identity().address);
         let live = self.link.other_members().filter(|(_, s)| *s != MemberState::Down);
-        let (mut before, mut all) = (0, 1);
+        let (mut members_before, mut live_members) = (0, 1);
         for (id, _) in live {
-            all += 1;
-            before += u64::from(id.address < me);
+            live_members += 1;
+            members_before += u64::from(id.address < me);
         }
-        (size, (before * u64::from(size) / all) as u32)
+        (size, (members_before * u64::from(size) / live_members) as u32)
     }
 
-    /// Writes what this process goes by from now on, with what each member says of the node, and how old that is.
-    fn log_verdict(&self, log: &Logger, pool: &Seen<'_>, heard: &PeerVerdict, said: &[MemberClaim]) {
-        let name = pool.decisions.upstream_name(heard.server);
-        let (of, node) = (name_hash(pool.name), name_hash(name));
+    /// Logs a verdict that this process acts on from now on, with each member's claim about the node and its
+    /// age.
+    fn log_verdict(
+        &self,
+        log: &Logger,
+        pool: &PoolSnapshot<'_>,
+        verdict: &PeerVerdict,
+        claims: &[MemberClaim],
+    ) {
+        let name = pool.decisions.upstream_name(verdict.server);
+        let (pool_hash, node_hash) = (name_hash(pool.name), name_hash(name));
         let members = self.member_names();
-        let voices: Vec<String> = said
+        let claim_texts: Vec<String> = claims
             .iter()
-            .filter(|s| s.subject.pool == of && s.subject.node == node)
+            .filter(|s| s.subject.pool == pool_hash && s.subject.node == node_hash)
             .map(|s| {
-                let member = members.get(&s.member).copied().unwrap_or("one unknown");
+                let member = members.get(&s.member).copied().unwrap_or("an unknown member");
                 let of_class = if s.subject.class == 0 { "" } else { " for a class" };
-                format!("{member}: {}{of_class} {} ms ago", what_name(s.claim.condition), s.age.0 / 1000)
+                format!("{member}: {}{of_class} {} ms ago", condition_name(s.claim.condition), s.age.0 / 1000)
             })
             .collect();
-        let class = heard.class.and_then(|c| pool.classes.get(c.0 as usize)).map_or("", String::as_str);
-        info!(log, "a verdict"; "pool" => pool.name, "node" => name, "class" => class, "bad" => heard.severity,
-            "tries" => heard.probes_here, "said" => voices.join(", "));
+        let class = verdict.class.and_then(|c| pool.classes.get(c.0 as usize)).map_or("", String::as_str);
+        info!(log, "the verdict on a node has changed"; "pool" => pool.name, "node" => name,
+            "class" => class, "bad" => verdict.severity,
+            "tries" => verdict.probes_here, "said" => claim_texts.join(", "));
     }
 
-    /// The names of members by their lives.
+    /// The names of members by the ids of their processes.
     fn member_names(&self) -> FxHashMap<u64, &str> {
         let me = self.link.own_identity();
         let others = self.link.other_members().map(|(id, _)| (id.boot, id.name.as_str()));
         others.chain([(me.boot, me.name.as_str())]).collect()
     }
 
-    fn merge(&self, said: &[MemberClaim], pools: &[Seen<'_>]) -> Vec<MergedVerdict> {
+    /// Merges the claims of all members into verdicts on the nodes of these pools.
+    fn merge_member_claims(&self, claims: &[MemberClaim], pools: &[PoolSnapshot<'_>]) -> Vec<MergedVerdict> {
         let me = self.link.own_identity();
         let members: FxHashMap<u64, (bool, bool)> = self
             .link
@@ -288,18 +310,18 @@
             alive_members: self.link.alive_count() as usize,
             pool_size: &|pool| nodes.get(&pool).copied().unwrap_or(0),
         };
-        merge_claims(said, &view)
+        merge_claims(claims, &view)
     }
 
-    /// What members say of nodes now, with who said it and how old it is.
-    fn verdicts(&self) -> Vec<Value> {
+    /// The claims about nodes that are current, each with the member that made it and its age.
+    fn claims_json(&self) -> Vec<Value> {
         let members = self.member_names();
         let name =
-            |of: u64, hash: u64| self.names.get(&(of, hash)).cloned().unwrap_or(format!("{hash:016x}"));
-        let said = self.link.facts().filter_map(|f| read(&f));
-        let rows = said.map(|s| {
+            |scope: u64, hash: u64| self.names.get(&(scope, hash)).cloned().unwrap_or(format!("{hash:016x}"));
+        let claims = self.link.facts().filter_map(|f| read_claim(&f));
+        let rows = claims.map(|s| {
             let Subject { pool, node, class, .. } = s.subject;
-            let what = what_name(s.claim.condition);
+            let what = condition_name(s.claim.condition);
             json!({
                 "pool": name(0, pool), "node": name(pool, node),
                 "class": (class != 0).then(|| name(0, class)),
@@ -310,15 +332,18 @@
         rows.collect()
     }
 
-    /// The process ends: peers need not find out by themselves.
+    /// Leaves the fleet when the process ends, so that peers need not detect that by probes.
     pub fn leave(&mut self) {
         self.link.leave();
     }
 
-    /// A new version of the file: keys change at once, all else at the next start.
-    pub fn reload(&mut self, net: &Net, new: Option<&Settings>) {
+    /// Applies a new version of the file: keys change at once, all other settings at the next start.
+    pub fn reload(&mut self, net: &Net, new: Option<&FleetSettings>) {
         if new != Some(&self.settings) {
-            warn!(net.log, "[fleet] has changed; that holds from the next start on");
+            warn!(
+                net.log,
+                "[fleet] has changed in the configuration; but for keys, that applies from the next start on"
+            );
         }
         match self.link.reload_keys() {
             Ok(()) => {}
@@ -326,11 +351,11 @@
         }
     }
 
-    /// `GET /members`.
-    pub fn json(&self) -> Value {
+    /// The body of `GET /members`.
+    pub fn members_json(&self) -> Value {
         let me = self.link.own_identity();
         let mut members: Vec<(&Identity, &str)> = vec![(me, "self")];
-        members.extend(self.link.other_members().map(|(id, state)| (id, name(state))));
+        members.extend(self.link.other_members().map(|(id, state)| (id, state_name(state))));
         members.sort_by(|a, b| a.0.name.cmp(&b.0.name).then(a.0.address.cmp(&b.0.address)));
         let rows: Vec<Value> = members
             .into_iter()
@@ -347,27 +372,28 @@
             .map(|why| (format!("{why:?}").to_lowercase(), counts.dropped[why.index()].into()))
             .collect();
         json!({
-            "member": me.name, "alive": self.link.alive_count(), "size": self.link.fleet_size(), "away": counts.rejoins,
+            "member": me.name, "alive": self.link.alive_count(), "size": self.link.fleet_size(),
+            "away": counts.rejoins,
             "stalls": counts.stalls, "facts": self.link.fact_count(),
             "max_age_ms": self.settings.max_age.as_millis() as u64, "members": rows,
-            "dropped": dropped, "verdicts": self.verdicts(), "acted_on": self.acted_on,
+            "dropped": dropped, "verdicts": self.claims_json(), "acted_on": self.verdicts_in_use,
         })
     }
 
-    /// Its lines of `/stats`.
-    pub fn stats(&self, out: &mut String) {
+    /// Appends the fleet's lines of `/stats`.
+    pub fn write_stats(&self, out: &mut String) {
         if let Some(duties) = &self.duties {
-            duties.stats(out);
+            duties.write_stats(out);
         }
         if let Some(export) = &self.export {
-            export.stats(out);
+            export.write_stats(out);
         }
         let (counts, dropped) = (self.link.counters(), self.link.dropped());
         for (what, n) in [
             ("members_alive", u64::from(self.link.alive_count())),
             ("size", u64::from(self.link.fleet_size())),
             ("facts", self.link.fact_count() as u64),
-            ("verdicts_acted_on", self.acted_on),
+            ("verdicts_acted_on", self.verdicts_in_use),
         ] {
             let _ = writeln!(out, "edge_gw.fleet.{what}:{n}|g");
         }
@@ -391,14 +417,15 @@
     }
 }
 
-/// `None`: the news is not a verdict.
-fn read(f: &Fact<'_>) -> Option<MemberClaim> {
-    let (subject, claim) = (Subject::from_key(f.key)?, Claim::from_value(f.value)?);
-    Some(MemberClaim { member: f.origin, subject, claim, age: f.age })
+/// Reads a claim from a fact; `None` if the fact is not a claim.
+fn read_claim(fact: &Fact<'_>) -> Option<MemberClaim> {
+    let (subject, claim) = (Subject::from_key(fact.key)?, Claim::from_value(fact.value)?);
+    Some(MemberClaim { member: fact.origin, subject, claim, age: fact.age })
 }
 
-fn what_name(what: NodeCondition) -> &'static str {
-    match what {
+/// The name of a condition in `/members` and in the log.
+fn condition_name(condition: NodeCondition) -> &'static str {
+    match condition {
         NodeCondition::Sick => "sick",
         NodeCondition::Unreachable => "unreachable",
         NodeCondition::Well => "well",
@@ -406,7 +433,8 @@
     }
 }
 
-fn name(state: MemberState) -> &'static str {
+/// The name of a member's state in `/members`.
+fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
@@ -414,7 +442,8 @@
     }
 }
 
-fn tell(net: &Net, event: &Event, alive: u32) {
+/// Logs a change of the membership.
+fn log_event(net: &Net, event: &Event, alive: u32) {
     let log = &net.log;
     match event {
         Event::MemberUp(m) => {
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A request goes once from left to right: `callers` (listeners and their connections) read it with the codec `http`,
 //! `admission` finds its route, class and pool, `exchange` keeps its life, `pools` ask their modules, and `upstreams`
-//! carry its attempts. `source` and `discovery` say where the nodes are, `lease` what connections and requests hold
+//! carry its attempts. `source` and `discovery` say where the nodes are, `reservation` what connections and requests hold
 //! of the limits, `plan` what is to be served at all, `reload` what has changed of it, and `shutdown` how it ends.
 //! `fleet`, where the operator's file has it, is the link to the other balancers, and `duties` what one does for all.
 //! [`Proxy`] is the state that the event loop hands to each of them.
@@ -12,18 +12,18 @@
 mod admission;
 mod callers;
 mod clock;
+mod discovered_hosts;
 mod discovery;
 mod duties;
 mod exchange;
 mod export;
 mod fleet;
-mod held_list;
 mod http;
-mod lease;
 pub mod plan;
 mod pools;
 mod reasons;
 mod reload;
+mod reservation;
 mod rounds;
 mod shutdown;
 mod socket_errors;
@@ -40,9 +40,9 @@
 use garnettally_decisions::facade::Report;
 use garnettally_routing::budget::HolderId;
 use garnettally_routing::pins::Pins;
-use lease::{Lease, Shared};
-use plan::{Guide, Plan};
+use plan::{Plan, RequestMatching};
 use pools::PoolId;
+use reservation::{Reservation, SharedBudget};
 use rounds::Rounds;
 use slog::{info, Logger};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -71,7 +71,7 @@
     /// For random numbers of new pools.
     seed: u64,
     log_requests: LogRequests,
-    reload: reload::Reloads,
+    reload: reload::ReloadState,
     shutdown: shutdown::Shutdown,
     admin: admin::Admin,
     /// Only where the operator's file has `[fleet]`.
@@ -189,10 +189,10 @@
     waker.map_err(|e| format!("event loop: {e}"))?;
     let net = Net { handle: events.handle(), log, rng, rounds, scratch, limits, clock, next: 0 };
     let budgets = pools::Budgets {
-        requests: Shared::new(plan.requests),
-        connections: Shared::new(net.limits.max_connections),
-        callers: Shared::new(net.limits.max_caller_connections + 1),
-        copies: Shared::new(usize::MAX),
+        requests: SharedBudget::new(plan.max_requests),
+        connections: SharedBudget::new(net.limits.max_connections),
+        callers: SharedBudget::new(net.limits.max_caller_connections + 1),
+        copies: SharedBudget::new(usize::MAX),
     };
     let mut listening = callers::Callers::default();
     for listener in plan.listeners {
@@ -214,11 +214,11 @@
         upstreams: upstreams::Upstreams::default(),
         exchanges: exchange::Exchanges::default(),
         version: None,
-        pins: Pins::new(plan.pins),
+        pins: Pins::new(plan.max_pinned_keys),
         key_seed,
         seed: plan.seed,
         log_requests: plan.log_requests,
-        reload: reload::Reloads::new(plan.reload),
+        reload: reload::ReloadState::new(plan.reload),
         shutdown: shutdown::Shutdown::default(),
         admin: admin::Admin::default(),
         fleet: None,
@@ -238,12 +238,12 @@
     for pool in &plan.pools {
         pool.site.names.classes().iter().for_each(|c| proxy.stats.know_class(c));
     }
-    if let (Guide::Platform, Some(pool)) = (&plan.guide, plan.pools.first()) {
-        proxy.reload.settings = Some(reload::fingerprint(&pool.site));
+    if let (RequestMatching::Platform, Some(pool)) = (&plan.matching, plan.pools.first()) {
+        proxy.reload.platform_settings = Some(reload::fingerprint(&pool.site));
     }
     let pools = plan.pools.into_iter().map(|pool| proxy.add_pool(pool, plan.seed, now)).collect();
-    if let Guide::Routes(operator) = plan.guide {
-        proxy.put_in_force(*operator, pools);
+    if let RequestMatching::Routes(operator) = plan.matching {
+        proxy.activate_version(*operator, pools);
     }
     events
         .handle()
@@ -254,10 +254,10 @@
             _ => proxy.begin_shutdown(),
         })
         .map_err(|e| e.to_string())?;
-    while !proxy.finished() {
+    while !proxy.is_finished() {
         let until = proxy.next_wake();
         let now = Instant::now();
-        proxy.net.rounds.wait(now, until);
+        proxy.net.rounds.begin_wait(now, until);
         let wait = until.map(|at| at.saturating_duration_since(now));
         events.dispatch(wait, &mut proxy).map_err(|e| format!("event loop: {e}"))?;
         proxy.turn(Instant::now());
@@ -274,17 +274,17 @@
     /// What time brings about, after each round of the event loop.
     fn turn(&mut self, now: Instant) {
         self.expire_attempts(now);
-        self.tend_sources(now);
+        self.run_due_sources(now);
         self.continue_reload(now);
-        self.finish_retune(false);
+        self.finish_replacement(false);
         self.admin.sweep(&self.net, now);
         if now >= self.next_sweep {
             self.next_sweep = now + self.net.limits.sweep_interval;
             self.sweep_callers(now);
             self.upstreams.sweep(&self.net, now);
-            self.review_pools(now);
+            self.update_failover(now);
             self.end_left_listeners();
-            self.end_left_pools();
+            self.remove_retired_pools();
             self.pins.expire(self.net.clock.at(now));
         }
         self.resume_accepting(now);
@@ -296,23 +296,24 @@
 
     /// The link's own work, and what the modules and the other members have to tell each other.
     fn tend_fleet(&mut self, now: Instant) {
-        let drained = self.shutdown.ending() || self.admin.draining();
+        let drained = self.shutdown.has_begun() || self.admin.draining();
         // What was read and is not told yet would pass for silence.
-        let untold = self.pools.iter().any(|p| p.first_news().is_some());
+        let untold = self.pools.iter().any(|p| p.first_queued_at().is_some());
         let told_at = self.next_consultation().filter(|_| untold);
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.drain(drained);
-        fleet.turn(&mut self.net, self.stats.figures(), now);
-        if !fleet.looks(now) || told_at.is_some_and(|at| fleet.postpone_look(at)) {
+        fleet.set_draining(drained);
+        fleet.run_due_work(&mut self.net, self.stats.figures(), now);
+        if !fleet.is_exchange_due(now) || told_at.is_some_and(|at| fleet.postpone_exchange(at)) {
             return;
         }
-        let seen: Vec<fleet::Seen<'_>> = self.pools.iter().filter(|p| !p.leaving).map(|p| p.seen()).collect();
-        let heard = fleet.look(&self.net.log, now, self.net.clock.at(now), &seen);
-        let share = fleet.share();
-        self.share_pools(share);
+        let seen: Vec<fleet::PoolSnapshot<'_>> =
+            self.pools.iter().filter(|p| !p.is_retired).map(|p| p.snapshot()).collect();
+        let heard = fleet.exchange_verdicts(&self.net.log, now, self.net.clock.at(now), &seen);
+        let share = fleet.size_and_index();
+        self.report_fleet_share(share);
         for (id, hearsay) in heard {
             if let Some(pool) = self.pools.get_mut(id) {
-                pool.queue(Report::PeerVerdict(hearsay), now);
+                pool.queue_report(Report::PeerVerdict(hearsay), now);
             }
         }
     }
@@ -344,7 +345,7 @@
     /// Makes room for one more connection of this holder, if idle ones take it; upstream connections go first.
     fn has_room(&mut self, holder: HolderId) -> bool {
         while let Err(why) = self.budgets.connections.check(&[Some(holder)]) {
-            let helps = |lease: &Lease| lease.helps(holder, why);
+            let helps = |lease: &Reservation| lease.would_admit(holder, why);
             if !self.upstreams.close_oldest_idle(&self.net, helps)
                 && !self.close_idle_caller_helping(holder, why)
             {
@@ -354,9 +355,9 @@
         true
     }
 
-    fn make_room(&mut self, holder: HolderId) -> Option<Lease> {
+    fn make_room(&mut self, holder: HolderId) -> Option<Reservation> {
         if self.has_room(holder) {
-            self.budgets.connections.take(&[Some(holder)]).ok()
+            self.budgets.connections.reserve(&[Some(holder)]).ok()
         } else {
             None
         }
--- a/crates/serve/src/plan.rs
+++ b/crates/serve/src/plan.rs
@@ -1,6 +1,6 @@
-//! What one process is to serve, whoever says so: the platform's configuration or an operator's file.
+//! The plan of what one process serves, made from the platform's configuration or from an operator's file.
 
-use crate::upstreams::Terms;
+use crate::upstreams::ConnectionSettings;
 use crate::Limits;
 use garnettally_config::file::format::LogRequests;
 use garnettally_config::file::{Fleet, Listener, OperatorConfig, Pool, PoolIdentity, PoolNodes};
@@ -11,91 +11,92 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What one process is to serve.
+/// Everything that one process needs to start serving.
 pub struct Plan {
-    /// Its name.
+    /// The name of the process, for the log.
     pub name: String,
-    /// For random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Sizes, counts and times.
+    /// Limits on sizes, counts and times.
     pub limits: Limits,
-    /// Where clients connect.
+    /// The addresses that clients connect to.
     pub listeners: Vec<Listener>,
-    /// The pools.
+    /// The pools, in the order of the file.
     pub pools: Vec<PoolPlan>,
-    /// How a request finds its class and pool.
-    pub guide: Guide,
-    /// Requests in flight.
-    pub requests: usize,
-    /// Keys whose windows are open.
-    pub pins: usize,
-    /// Which requests get a log line.
+    /// How the class and the pool of a request are found.
+    pub matching: RequestMatching,
+    /// The most requests in flight.
+    pub max_requests: usize,
+    /// The most idempotency keys that are pinned to a pool at a time.
+    pub max_pinned_keys: usize,
+    /// Which requests are logged.
     pub log_requests: LogRequests,
-    /// What SIGHUP reads again.
-    pub reload: Reload,
-    /// Where operators call.
+    /// The configuration that SIGHUP reads again.
+    pub reload: ReloadSource,
+    /// The address of the admin interface; `None`: it is not served.
     pub admin: Option<SocketAddr>,
-    /// The other balancers; `None`: nothing is shared with any, and no socket is opened for it.
+    /// The settings of the fleet; `None`: nothing is shared with other balancers, and no socket is opened for
+    /// it.
     pub fleet: Option<Fleet>,
 }
 
-/// How a request finds its class and pool.
-pub enum Guide {
-    /// As the platform's protocol says: the first part of the path is the class, and there is one pool.
+/// How the class and the pool of a request are found.
+pub enum RequestMatching {
+    /// The platform's protocol: the first segment of the path is the class, and there is one pool.
     Platform,
-    /// By the routes of the operator's file.
+    /// The routes of the operator's file.
     Routes(Box<OperatorConfig>),
 }
 
-/// What SIGHUP reads again.
-pub enum Reload {
-    /// The platform's configuration, whose `discovery` was this.
+/// The configuration that SIGHUP reads again.
+pub enum ReloadSource {
+    /// The platform's configuration, with the value of `discovery` in its file when it was last read.
     Platform(Option<SocketAddr>),
     /// The operator's file at this path.
     File(String),
 }
 
-/// One pool.
+/// The settings of one pool.
 pub struct PoolPlan {
-    /// Its name.
+    /// The pool's name.
     pub name: String,
-    /// What its instance of the module is given.
+    /// The input for its instance of the decision module.
     pub site: Site,
-    /// What makes that instance what it is.
-    pub basis: Option<PoolIdentity>,
-    /// Where its nodes are told.
+    /// The settings whose change needs a new instance of the module; `None` on the platform.
+    pub identity: Option<PoolIdentity>,
+    /// The source of its nodes.
     pub nodes: PoolNodes,
-    /// The list as it was last held.
-    pub known: Option<HostList>,
-    /// How long opening a connection may take.
-    pub connect: Duration,
-    /// How long one between requests is kept.
-    pub keep: Duration,
+    /// A list known from before, with which the module starts.
+    pub known_list: Option<HostList>,
+    /// The time-out for opening a connection.
+    pub connect_timeout: Duration,
+    /// How long an idle connection is kept open.
+    pub idle_timeout: Duration,
     /// Its share of the requests in flight.
     pub requests: Share,
     /// Its share of the connections.
     pub connections: Share,
-    /// Its share of the memory for unfinished answers, in bytes.
+    /// Its share of the memory for incomplete responses, in bytes.
     pub memory: Share,
-    /// When it is left in a failover list.
+    /// The rules by which a failover list leaves this pool and returns to it.
     pub failover: FailoverRules,
-    /// Any 2xx or 3xx answer serves a request.
+    /// Any 2xx or 3xx response counts as success; otherwise only 200 does.
     pub any_success: bool,
-    /// Its nodes are shared by as many instances as the fleet has members.
+    /// As many instances as the fleet has members share its nodes.
     pub shared_by_fleet: bool,
 }
 
 impl Plan {
-    /// The platform's one pool, by this configuration.
+    /// The one pool of the platform, from this configuration.
     pub fn platform_pool(config: &Config, limits: &Limits) -> PoolPlan {
         PoolPlan {
             name: "upstreams".into(),
             site: config.site.clone(),
-            basis: None,
+            identity: None,
             nodes: PoolNodes::Discovery(config.discovery_address),
-            known: Some(config.known_hosts.clone()),
-            connect: limits.upstream_connect_timeout,
-            keep: limits.upstream_idle_timeout,
+            known_list: Some(config.known_hosts.clone()),
+            connect_timeout: limits.upstream_connect_timeout,
+            idle_timeout: limits.upstream_idle_timeout,
             requests: Share::default(),
             connections: Share::default(),
             memory: Share::default(),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The platform's: one listener, one pool.
+    /// The plan for the platform: one listener and one pool.
     pub fn platform(config: Config) -> Plan {
         let limits = Limits::from_platform(&config);
         let listener = Listener {
@@ -122,18 +123,18 @@
             limits,
             listeners: vec![listener],
             pools: vec![pool],
-            guide: Guide::Platform,
-            requests: usize::MAX,
-            pins: 0,
+            matching: RequestMatching::Platform,
+            max_requests: usize::MAX,
+            max_pinned_keys: 0,
             log_requests: if config.debug_logging { LogRequests::All } else { LogRequests::None },
-            reload: Reload::Platform(config.discovery_address_in_file),
+            reload: ReloadSource::Platform(config.discovery_address_in_file),
             admin: config.admin_address,
-            // The platform's pages say that balancers share nothing.
+            // The platform's documentation says that balancers share nothing.
             fleet: None,
         }
     }
 
-    /// An operator's, read from this path. A seed that the file does not give is `seed`.
+    /// The plan for an operator's file, which was read from this path. `seed` applies if the file gives none.
     pub fn operator(path: String, mut operator: OperatorConfig, seed: u64) -> Plan {
         Plan {
             name: operator.name.clone(),
@@ -141,13 +142,13 @@
             limits: Limits::from_operator(&operator),
             listeners: std::mem::take(&mut operator.listeners),
             pools: std::mem::take(&mut operator.pools).into_iter().map(PoolPlan::from).collect(),
-            requests: operator.max_requests,
-            pins: operator.max_pinned_keys,
+            max_requests: operator.max_requests,
+            max_pinned_keys: operator.max_pinned_keys,
             log_requests: operator.logging.requests,
             admin: operator.admin_address,
             fleet: operator.fleet.take(),
-            guide: Guide::Routes(Box::new(operator)),
-            reload: Reload::File(path),
+            matching: RequestMatching::Routes(Box::new(operator)),
+            reload: ReloadSource::File(path),
         }
     }
 }
@@ -157,11 +158,11 @@
         PoolPlan {
             name: p.name,
             site: p.site,
-            basis: Some(p.identity),
+            identity: Some(p.identity),
             nodes: p.nodes,
-            known: None,
-            connect: p.connect_timeout,
-            keep: p.idle_timeout,
+            known_list: None,
+            connect_timeout: p.connect_timeout,
+            idle_timeout: p.idle_timeout,
             requests: p.requests,
             connections: p.connections,
             memory: p.memory_bytes,
@@ -173,9 +174,10 @@
 }
 
 impl PoolPlan {
-    /// What its connections go by.
-    pub(crate) fn terms(&self, holder: HolderId) -> Terms {
-        let (connect, keep, memory, any_success) = (self.connect, self.keep, self.memory, self.any_success);
-        Terms { connect, keep, holder, memory, any_success }
+    /// The settings of its connections, which count against this holder's share.
+    pub(crate) fn connection_settings(&self, holder: HolderId) -> ConnectionSettings {
+        let (connect_timeout, idle_timeout) = (self.connect_timeout, self.idle_timeout);
+        let (memory, any_success) = (self.memory, self.any_success);
+        ConnectionSettings { connect_timeout, idle_timeout, holder, memory, any_success }
     }
 }
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -1,12 +1,13 @@
-//! The pools: each with its own instance of the decision module, its own source of nodes and its own terms.
+//! The pools, each with its own instance of the decision module, its own source of nodes and its own
+//! settings.
 
 use crate::discovery::Discovery;
 use crate::exchange::News;
-use crate::fleet::Seen;
+use crate::fleet::PoolSnapshot;
 use crate::plan::PoolPlan;
-use crate::source::{whole, Source};
+use crate::source::{whole_list, Source};
 use crate::upstreams::Target;
-use crate::{Proxy, Shared};
+use crate::{Proxy, SharedBudget};
 use garnettally_config::file::{PoolIdentity, PoolNodes};
 use garnettally_decisions::facade::{
     Code, Decision, Decisions, ListFreshness, ListedState, Micros, Report, ServerId,
@@ -23,120 +24,142 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u64);
 
-/// One pool.
+/// A pool in use.
 pub struct Pool {
     pub id: PoolId,
     pub name: String,
+    /// The pool's instance of the decision module.
     pub decisions: Decisions,
+    /// Where its list of nodes comes from.
     pub source: Source,
-    /// The pool that has taken its source over, and hears for both.
-    pub told_with: Option<PoolId>,
-    /// What makes its instance of the module what it is.
-    pub basis: Option<PoolIdentity>,
-    /// Where its nodes are told, as it is written.
+    /// The pool that has taken over this pool's source, and queues its reports for both.
+    pub source_moved_to: Option<PoolId>,
+    /// The settings that its instance of the module was created with; a change of them needs a new instance.
+    /// `None` on the platform.
+    pub identity: Option<PoolIdentity>,
+    /// The setting that names the source of its nodes.
     pub nodes: Option<PoolNodes>,
+    /// Its share of the requests in flight.
     pub requests: HolderId,
+    /// Its share of the mirrored requests in flight.
     pub copies: HolderId,
+    /// Its share of the connections.
     pub connections: HolderId,
+    /// The health of its nodes, which failover goes by.
     pub health: health::NodeHealth,
-    pub fitness: PoolFailover,
-    /// Requests and attempts that it still has.
-    pub open: usize,
-    /// Only being listed as draining binds.
-    pub drain_binds_alone: bool,
-    /// It gets no new request, and goes when it has none left.
-    pub leaving: bool,
-    /// A node of it was ready once.
-    pub ready: bool,
-    /// Its nodes are shared by as many instances as the fleet has members: so many it was last told, and which it is.
+    /// Whether failover uses the pool, and for how large a part of its requests.
+    pub failover: PoolFailover,
+    /// How many requests of the pool have not ended yet, or still have attempts in flight.
+    pub unfinished_requests: usize,
+    /// Only a listing as draining obliges this process to stop sending; being removed from the list is a
+    /// hint.
+    pub removal_is_advisory: bool,
+    /// The pool gets no new requests, and is removed when its last one has ended.
+    pub is_retired: bool,
+    /// A node has been listed as ready at least once.
+    pub was_ready: bool,
+    /// Where as many instances as the fleet has members share its nodes: their number and this instance's
+    /// index from 0, as last reported to the module.
     pub shared_by_fleet: Option<(u32, u32)>,
-    /// Its source has told its nodes; before, requests wait for them.
-    pub told: bool,
-    /// How far its module takes the wall clock to be ahead of its own.
+    /// The source has delivered a whole list; requests that arrive earlier wait for it.
+    pub has_list: bool,
+    /// How far the wall clock was ahead of the process's own clock when the module was last notified.
     wall_ahead: Micros,
-    /// What the log was last told of its list.
-    logged_standing: Option<ListFreshness>,
-    /// Its first call to discovery has had its time, or its list could be used without.
+    /// The freshness of the list in the last log line about it.
+    logged_freshness: Option<ListFreshness>,
+    /// The first call to discovery has been given its time, or the list was usable without it.
     is_started: bool,
-    news: Vec<News>,
-    first_news: Option<Instant>,
+    /// Input for the module's next turn, in the order of arrival.
+    queued: Vec<News>,
+    /// When the first queued input arrived; `None` with an empty queue.
+    first_queued_at: Option<Instant>,
 }
 
 impl Pool {
-    /// Whether a request could go to one of its nodes, or may wait to hear of them.
-    pub fn serves(&self) -> bool {
-        !self.leaving && (!self.told || self.health.ready_count() > 0)
+    /// Whether a request could be sent to one of its nodes, or may wait for its first list.
+    pub fn can_serve(&self) -> bool {
+        !self.is_retired && (!self.has_list || self.health.ready_count() > 0)
     }
 
-    /// Whether it may take requests: a process that starts knows a list of any age, and waits for discovery's answer, but not
-    /// for long.
+    /// Whether the pool may accept requests. A process that starts has a list of unknown age, and waits for
+    /// discovery's answer for a limited time.
     pub fn is_started(&self, now: Micros) -> bool {
         let is_usable = |standing| matches!(standing, ListFreshness::Watched | ListFreshness::Leased);
         self.is_started
             || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
     }
 
-    /// What the fleet's exchange of verdicts sees of it.
-    pub fn seen(&self) -> Seen<'_> {
-        Seen { id: self.id, name: &self.name, classes: self.decisions.classes(), decisions: &self.decisions }
+    /// The pool as the fleet's exchange of verdicts reads it.
+    pub fn snapshot(&self) -> PoolSnapshot<'_> {
+        PoolSnapshot {
+            id: self.id,
+            name: &self.name,
+            classes: self.decisions.classes(),
+            decisions: &self.decisions,
+        }
     }
 
-    /// Tells the module how many share its nodes, where the fleet says so and it has changed.
-    pub fn share(&mut self, share: (u32, u32)) -> bool {
-        let new = self.shared_by_fleet.is_some_and(|before| before.0 != share.0);
-        if new {
+    /// Reports to the module how many instances share its nodes, if the pool's settings leave that to the
+    /// fleet and the number has changed. Returns whether it did.
+    pub fn set_fleet_share(&mut self, share: (u32, u32)) -> bool {
+        let has_changed = self.shared_by_fleet.is_some_and(|before| before.0 != share.0);
+        if has_changed {
             self.shared_by_fleet = Some(share);
             self.decisions.set_instances(share.0, share.1);
         }
-        new
+        has_changed
     }
 
-    /// Tells the module of a step of the wall clock, by which lists date the starts of nodes.
+    /// Reports a step of the wall clock to the module, as lists date the starts of nodes by that clock.
     fn follow_wall_clock(&mut self, now: Micros, ahead: Micros) {
-        // Less is the clocks' own drift, and the time between two readings.
-        const STEP_LEAST: i64 = 100_000;
-        if (ahead - self.wall_ahead).0.abs() >= STEP_LEAST {
+        // A smaller difference comes from the drift of the clocks and the time between two readings.
+        const MIN_STEP_US: i64 = 100_000;
+        if (ahead - self.wall_ahead).0.abs() >= MIN_STEP_US {
             self.wall_ahead = ahead;
             self.decisions.report(now, Report::WallClock { ahead });
         }
     }
 
-    /// Has the module hear of this at its next turn.
-    pub fn queue(&mut self, report: Report, now: Instant) {
-        self.add(News::Known(report), now);
+    /// Queues a report for the module's next turn.
+    pub fn queue_report(&mut self, report: Report, now: Instant) {
+        self.queue_input(News::Known(report), now);
     }
 
-    pub fn add(&mut self, news: News, now: Instant) {
-        self.news.push(news);
-        self.first_news.get_or_insert(now);
+    /// Queues an input for the module's next turn.
+    pub fn queue_input(&mut self, input: News, now: Instant) {
+        self.queued.push(input);
+        self.first_queued_at.get_or_insert(now);
     }
 
-    pub fn take_news(&mut self) -> Vec<News> {
-        self.first_news = None;
-        std::mem::take(&mut self.news)
+    /// Empties the queue, and returns what was in it.
+    pub fn take_queued(&mut self) -> Vec<News> {
+        self.first_queued_at = None;
+        std::mem::take(&mut self.queued)
     }
 
-    pub fn first_news(&self) -> Option<Instant> {
-        self.first_news
+    /// When the first queued input arrived; `None` with an empty queue.
+    pub fn first_queued_at(&self) -> Option<Instant> {
+        self.first_queued_at
     }
 }
 
-/// Says for how long the pool's list may be used, which whoever reads about a request that went too late needs to know.
-fn log_list_terms(log: &Logger, plan: &PoolPlan) {
+/// Logs for how long the pool's list may be used, which explains requests that were sent according to an
+/// outdated list.
+fn log_list_limits(log: &Logger, plan: &PoolPlan) {
     let milliseconds = |time: Micros| time.0 / 1000;
     let settings = &plan.site.settings;
-    let known = plan.known.as_ref().map_or(0, |list| list.seq);
+    let known_version = plan.known_list.as_ref().map_or(0, |list| list.seq);
     info!(log, "terms of the list of upstreams"; "tier" => settings.tier, "instances" => settings.instances,
         "ask_within_ms" => milliseconds(settings.watch_request_within),
         "lease_ms" => settings.list_lease.map(milliseconds),
-        "connect_ms" => plan.connect.as_millis(), "known" => known);
+        "connect_ms" => plan.connect_timeout.as_millis(), "known" => known_version);
 }
 
-/// All pools.
+/// All pools in use, by number.
 #[derive(Default)]
 pub struct Pools {
     all: BTreeMap<PoolId, Pool>,
-    next: u64,
+    last_id: u64,
 }
 
 impl Pools {
@@ -156,57 +179,57 @@
         self.all.keys().copied().collect()
     }
 
-    /// A pool and those whose source it has taken over.
-    pub fn told_by(&mut self, id: PoolId) -> impl Iterator<Item = &mut Pool> {
-        self.all.values_mut().filter(move |p| p.id == id || p.told_with == Some(id))
+    /// A pool and all pools whose source it has taken over.
+    pub fn sharing_source(&mut self, id: PoolId) -> impl Iterator<Item = &mut Pool> {
+        self.all.values_mut().filter(move |p| p.id == id || p.source_moved_to == Some(id))
     }
 
-    /// The pool with this watch.
-    pub fn watching(&self, number: u64) -> Option<PoolId> {
-        let watches = |p: &&Pool| matches!(&p.source, Source::Watch(d) if d.watches(number));
-        self.all.values().find(watches).map(|p| p.id)
+    /// The pool whose source has the watch with this number.
+    pub fn with_watch(&self, number: u64) -> Option<PoolId> {
+        let has_watch = |p: &&Pool| matches!(&p.source, Source::Watch(d) if d.has_watch(number));
+        self.all.values().find(has_watch).map(|p| p.id)
     }
 
-    /// Has `to` take over the source of `from` with all that it has told; both go on hearing of it.
+    /// Moves the source of `from` and the state of its watch to `to`; both pools go on receiving its reports.
     pub fn hand_over_source(&mut self, from: PoolId, to: PoolId, now: Instant) {
         let Some(mut taken_over) = self.all.remove(&to) else { return };
         if let Some(before) = self.all.get_mut(&from) {
             taken_over.source = std::mem::replace(&mut before.source, Source::Static);
             taken_over.decisions.take_over_watch(&before.decisions);
         }
-        // What the module before has not heard of yet would never reach this one.
-        if let Some(standing) = taken_over.source.standing(now) {
-            taken_over.queue(standing, now);
+        // A report that the previous module has not received yet would never reach this one.
+        if let Some(report) = taken_over.source.watch_report(now) {
+            taken_over.queue_report(report, now);
         }
         self.all.insert(to, taken_over);
-        for p in self.told_by(from) {
-            p.told_with = Some(to);
+        for p in self.sharing_source(from) {
+            p.source_moved_to = Some(to);
         }
     }
 
-    /// The pool of this name that takes requests.
-    pub fn named(&self, name: &str) -> Option<PoolId> {
-        self.all.values().find(|p| p.name == name && !p.leaving).map(|p| p.id)
+    /// The pool of this name that accepts requests.
+    pub fn active_pool(&self, name: &str) -> Option<PoolId> {
+        self.all.values().find(|p| p.name == name && !p.is_retired).map(|p| p.id)
     }
 }
 
 impl Proxy {
-    /// Starts a pool.
+    /// Adds a pool, with a new instance of the decision module.
     pub fn add_pool(&mut self, plan: PoolPlan, seed: u64, now: Instant) -> PoolId {
-        self.pools.next += 1;
-        let id = PoolId(self.pools.next);
+        self.pools.last_id += 1;
+        let id = PoolId(self.pools.last_id);
         let at = self.net.clock.at(now);
-        let (mut source, told) = Source::new(&plan.nodes, now);
-        if let (Source::Watch(discovery), Some(known)) = (&mut source, &plan.known) {
+        let (mut source, initial_list) = Source::new(&plan.nodes, now);
+        if let (Source::Watch(discovery), Some(known)) = (&mut source, &plan.known_list) {
             *discovery = Discovery::new(discovery.address(), Some(known));
-            log_list_terms(&self.net.log, &plan);
+            log_list_limits(&self.net.log, &plan);
         }
-        let requests = self.budgets.requests.join(plan.requests);
-        let connections = self.budgets.connections.join(plan.connections);
-        let terms = plan.terms(connections);
-        self.upstreams.set_terms(id, terms);
-        // Pools draw from numbers of their own: what one draws must not depend on what another does.
-        let seed = if plan.basis.is_none() {
+        let requests = self.budgets.requests.add_holder(plan.requests);
+        let connections = self.budgets.connections.add_holder(plan.connections);
+        let connection_settings = plan.connection_settings(connections);
+        self.upstreams.set_connection_settings(id, connection_settings);
+        // Each pool has its own random sequence: the draws of one must not depend on those of another.
+        let seed = if plan.identity.is_none() {
             seed
         } else {
             seed ^ garnettally_routing::stable_hash(0, plan.name.as_bytes())
@@ -214,67 +237,67 @@
         let mut pool = Pool {
             id,
             name: plan.name,
-            drain_binds_alone: plan.site.settings.removal_is_advisory,
+            removal_is_advisory: plan.site.settings.removal_is_advisory,
             decisions: Decisions::new(plan.site, seed, at),
             source,
-            told_with: None,
-            basis: plan.basis,
+            source_moved_to: None,
+            identity: plan.identity,
             nodes: Some(plan.nodes),
             requests,
-            copies: self.budgets.copies.join(plan.requests),
+            copies: self.budgets.copies.add_holder(plan.requests),
             connections,
             health: health::NodeHealth::default(),
-            fitness: PoolFailover::new(plan.failover, at),
-            open: 0,
-            leaving: false,
-            ready: false,
+            failover: PoolFailover::new(plan.failover, at),
+            unfinished_requests: 0,
+            is_retired: false,
+            was_ready: false,
             shared_by_fleet: plan.shared_by_fleet.then_some((1, 0)),
-            told: false,
+            has_list: false,
             wall_ahead: Micros(0),
-            logged_standing: None,
+            logged_freshness: None,
             is_started: false,
-            news: Vec::new(),
-            first_news: None,
+            queued: Vec::new(),
+            first_queued_at: None,
         };
-        // The module asks for a watch when it first hears of anything, if only of an empty list.
-        let nothing = || HostList { seq: 0, whole: true, hosts: Vec::new() };
-        let known = plan.known.or_else(|| matches!(pool.source, Source::Watch(_)).then(nothing));
-        if let Some(known) = known {
-            pool.queue(Report::InitialList(known), now);
+        // The module requests a watch once it has received a report, even one of an empty list.
+        let empty_list = || HostList { seq: 0, whole: true, hosts: Vec::new() };
+        let first_list = plan.known_list.or_else(|| matches!(pool.source, Source::Watch(_)).then(empty_list));
+        if let Some(list) = first_list {
+            pool.queue_report(Report::InitialList(list), now);
         }
-        if let Some(list) = told {
-            pool.queue(Report::List(list), now);
+        if let Some(list) = initial_list {
+            pool.queue_report(Report::List(list), now);
         }
         self.pools.all.insert(id, pool);
         id
     }
 
-    /// Takes over what a new version says of a pool that stays. Its instance of the module goes on.
-    pub fn change_pool(&mut self, id: PoolId, plan: PoolPlan, now: Instant) {
+    /// Applies a new version's settings to a pool that stays. Its instance of the module goes on.
+    pub fn update_pool(&mut self, id: PoolId, plan: PoolPlan, now: Instant) {
         let at = self.net.clock.at(now);
         let Some(pool) = self.pools.get_mut(id) else { return };
-        self.budgets.requests.change(pool.requests, plan.requests);
-        self.budgets.copies.change(pool.copies, plan.requests);
-        self.budgets.connections.change(pool.connections, plan.connections);
-        pool.fitness.set_rules(plan.failover.clone(), at);
+        self.budgets.requests.set_share(pool.requests, plan.requests);
+        self.budgets.copies.set_share(pool.copies, plan.requests);
+        self.budgets.connections.set_share(pool.connections, plan.connections);
+        pool.failover.set_rules(plan.failover.clone(), at);
         pool.shared_by_fleet = plan.shared_by_fleet.then(|| pool.shared_by_fleet.unwrap_or((1, 0)));
-        self.upstreams.set_terms(id, plan.terms(pool.connections));
+        self.upstreams.set_connection_settings(id, plan.connection_settings(pool.connections));
         if pool.nodes.as_ref() == Some(&plan.nodes) {
             return;
         }
         match &plan.nodes {
-            // The address alone moves; a watch on the old one ends.
+            // Only the address changes; a watch on the old one ends.
             PoolNodes::Discovery(address) if matches!(pool.source, Source::Watch(_)) => {
                 let address = *address;
                 pool.nodes = Some(plan.nodes);
-                self.follow_discovery(id, address);
+                self.change_discovery_address(id, address);
             }
             nodes => {
-                let (source, told) = Source::new(nodes, now);
+                let (source, initial_list) = Source::new(nodes, now);
                 if let Some(PoolNodes::Static(hosts)) = Some(nodes) {
-                    pool.queue(Report::List(whole(hosts.clone())), now);
-                } else if let Some(list) = told {
-                    pool.queue(Report::List(list), now);
+                    pool.queue_report(Report::List(whole_list(hosts.clone())), now);
+                } else if let Some(list) = initial_list {
+                    pool.queue_report(Report::List(list), now);
                 }
                 pool.source = source;
                 pool.nodes = Some(plan.nodes);
@@ -282,57 +305,61 @@
         }
     }
 
-    /// A pool that the newest version does not name: what it has taken ends there, and nothing new comes.
-    pub fn leave_pool(&mut self, id: PoolId) {
+    /// Retires a pool that the newest version does not name: its requests end there, and it gets no new ones.
+    pub fn retire_pool(&mut self, id: PoolId) {
         if let Some(pool) = self.pools.get_mut(id) {
-            pool.leaving = true;
-            self.budgets.requests.leave(pool.requests);
-            self.budgets.copies.leave(pool.copies);
+            pool.is_retired = true;
+            self.budgets.requests.remove_holder(pool.requests);
+            self.budgets.copies.remove_holder(pool.copies);
         }
     }
 
-    /// Ends the pools that have been left and have nothing any more.
-    pub fn end_left_pools(&mut self) {
-        let done = |p: &&Pool| p.leaving && p.open == 0 && p.news.is_empty();
-        let ids: Vec<PoolId> = self.pools.iter().filter(done).map(|p| p.id).collect();
+    /// Removes the retired pools whose last request has ended.
+    pub fn remove_retired_pools(&mut self) {
+        let is_done = |p: &&Pool| p.is_retired && p.unfinished_requests == 0 && p.queued.is_empty();
+        let ids: Vec<PoolId> = self.pools.iter().filter(is_done).map(|p| p.id).collect();
         for id in ids {
-            self.end_watch(id);
+            self.close_watch(id);
             self.upstreams.remove_pool(&self.net, id);
             if let Some(pool) = self.pools.all.remove(&id) {
-                self.budgets.connections.leave(pool.connections);
+                self.budgets.connections.remove_holder(pool.connections);
                 info!(self.net.log, "the pool has ended"; "pool" => pool.name);
             }
         }
     }
 
-    /// One of a pool's requests or attempts is over.
-    pub fn pool_let_go(&mut self, id: PoolId) {
+    /// Records that a request of a pool has ended with all its attempts, or has moved to another pool.
+    pub fn pool_request_finished(&mut self, id: PoolId) {
         if let Some(pool) = self.pools.get_mut(id) {
-            pool.open = pool.open.saturating_sub(1);
+            pool.unfinished_requests = pool.unfinished_requests.saturating_sub(1);
         }
     }
 
+    /// The name of a pool; empty if it has been removed.
     pub fn pool_name(&self, id: PoolId) -> &str {
         self.pools.get(id).map_or("", |p| p.name.as_str())
     }
 
+    /// The name of an upstream; empty if its pool has been removed.
     pub fn upstream_name(&self, target: Target) -> &str {
         self.pools.get(target.pool).map_or("", |p| p.decisions.upstream_name(target.server))
     }
 
-    /// Tells a pool's module of news; lists also tell where its nodes are reached, and how many are well.
-    pub fn tell(&mut self, id: PoolId, now: Micros, report: Report) -> Vec<Decision> {
+    /// Passes a report to a pool's module, and returns the module's decisions. From a list it also updates
+    /// the addresses and the listed states of the nodes.
+    pub fn apply_report(&mut self, id: PoolId, now: Micros, report: Report) -> Vec<Decision> {
         let Some(pool) = self.pools.get_mut(id) else { return Vec::new() };
-        let (hint, mut found, mut left) = (pool.drain_binds_alone, Vec::new(), Vec::new());
-        let mut all = false;
+        let (removal_is_advisory, mut found, mut departed) =
+            (pool.removal_is_advisory, Vec::new(), Vec::new());
+        let mut is_whole_list = false;
         if let Report::List(list) | Report::InitialList(list) = &report {
-            all = list.whole && matches!(report, Report::List(_));
+            is_whole_list = list.whole && matches!(report, Report::List(_));
             for (listing, dial) in &list.hosts {
                 found.push((listing.name.clone(), *dial, listing.state));
             }
         }
-        let listed = !found.is_empty() || all;
-        pool.told |= all;
+        let listed = !found.is_empty() || is_whole_list;
+        pool.has_list |= is_whole_list;
         if !found.is_empty() {
             pool.follow_wall_clock(now, self.net.clock.wall_ahead(Instant::now(), SystemTime::now()));
         }
@@ -340,44 +367,51 @@
         if !listed {
             return decisions;
         }
-        // The module has numbered them; nothing it decides is carried out before they have an address.
-        let number = |name: &str| pool.decisions.upstream(name);
-        let found: Vec<(ServerId, _, ListedState)> =
-            found.into_iter().filter_map(|(name, dial, state)| Some((number(&name)?, dial, state))).collect();
-        if all {
+        // The module has assigned the server ids; none of its decisions is carried out before the servers
+        // have an address here.
+        let server_id = |name: &str| pool.decisions.upstream(name);
+        let found: Vec<(ServerId, _, ListedState)> = found
+            .into_iter()
+            .filter_map(|(name, dial, state)| Some((server_id(&name)?, dial, state)))
+            .collect();
+        if is_whole_list {
             let named: rustc_hash::FxHashSet<ServerId> = found.iter().map(|f| f.0).collect();
-            let gone = pool.health.retain_listed(|id| named.contains(&id));
-            // Where only draining binds, being called gone is a hint that the module may doubt.
-            left.extend(gone.iter().filter(|_| !hint).map(|&server| Target { pool: id, server }));
-            // On the platform only draining binds: one that is left out may be sent to, and its connections cost.
-            for server in gone.into_iter().filter(|_| pool.basis.is_some()) {
+            let removed = pool.health.retain_listed(|id| named.contains(&id));
+            // Where only draining binds, removal from the list is a hint that the module may doubt.
+            departed.extend(
+                removed.iter().filter(|_| !removal_is_advisory).map(|&server| Target { pool: id, server }),
+            );
+            // On the platform only draining binds: a server that the list leaves out may still get requests,
+            // and new connections are costly, so its idle ones stay open.
+            for server in removed.into_iter().filter(|_| pool.identity.is_some()) {
                 self.upstreams.close_idle(&self.net, Target { pool: id, server });
             }
         }
         for (server, dial, state) in found {
             let target = Target { pool: id, server };
-            pool.ready |= state == ListedState::Ready;
+            pool.was_ready |= state == ListedState::Ready;
             pool.health.set_listed(server, state);
             if let Some(address) = dial {
-                self.upstreams.moved(&self.net, target, address);
+                self.upstreams.set_address(&self.net, target, address);
             }
             if state != ListedState::Ready {
                 self.upstreams.close_idle(&self.net, target);
-                left.extend((state == ListedState::Draining || !hint).then_some(target));
+                departed.extend((state == ListedState::Draining || !removal_is_advisory).then_some(target));
             }
         }
-        for target in left {
+        for target in departed {
             self.leave_upstream(target);
         }
         decisions
     }
 
-    /// Notes what is known of a pool's list, and writes a line when that has changed. Calls to discovery have pauses, so lines do, too.
-    pub fn note_list_standing(&mut self, id: PoolId, now: Micros) {
+    /// Updates whether the pool has started, and logs the freshness of its list when that has changed. The
+    /// rate of these lines is limited, as calls to discovery have pauses between them.
+    pub fn log_list_freshness(&mut self, id: PoolId, now: Micros) {
         let Some(pool) = self.pools.get_mut(id) else { return };
         pool.is_started = pool.is_started(now);
         let Some(report) = pool.decisions.list_standing(now) else { return };
-        if pool.logged_standing.replace(report.freshness) == Some(report.freshness) {
+        if pool.logged_freshness.replace(report.freshness) == Some(report.freshness) {
             return;
         }
         let state = match report.freshness {
@@ -391,30 +425,31 @@
             "asked_in_ms" => asked_in, "pool" => &pool.name);
     }
 
-    /// Notes how an attempt ended, for failover.
-    pub fn note_health(&mut self, target: Target, code: Code, now: Instant) {
+    /// Records the result of an attempt for the health that failover goes by.
+    pub fn record_attempt_result(&mut self, target: Target, code: Code, now: Instant) {
         let at = self.net.clock.at(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
             pool.health.attempt_ended(at, target.server, code);
         }
     }
 
-    /// Tells the modules whose nodes the fleet shares how large it is taken to be, and which member this is.
-    pub fn share_pools(&mut self, share: (u32, u32)) {
+    /// Reports the fleet's size and this member's index to the modules of pools whose nodes the fleet shares.
+    pub fn report_fleet_share(&mut self, share: (u32, u32)) {
         for pool in self.pools.all.values_mut() {
-            if pool.share(share) {
-                info!(self.net.log, "the fleet's size"; "pool" => &pool.name, "instances" => share.0, "instance" => share.1);
+            if pool.set_fleet_share(share) {
+                info!(self.net.log, "the fleet's size"; "pool" => &pool.name,
+                    "instances" => share.0, "instance" => share.1);
             }
         }
     }
 
-    /// Looks at the health of every pool, which failover goes by.
-    pub fn review_pools(&mut self, now: Instant) {
+    /// Updates the failover state of every pool from the health of its nodes.
+    pub fn update_failover(&mut self, now: Instant) {
         let at = self.net.clock.at(now);
-        // Before its nodes are told, nothing is known of a pool.
-        for pool in self.pools.all.values_mut().filter(|p| p.told) {
+        // Nothing is known of a pool before its first whole list.
+        for pool in self.pools.all.values_mut().filter(|p| p.has_list) {
             let share = pool.health.healthy_share(at);
-            if let Some(change) = pool.fitness.update(at, share) {
+            if let Some(change) = pool.failover.update(at, share) {
                 let what = match change {
                     Transition::Left => "the pool is left: too few of its nodes are well",
                     Transition::Returning => "the pool is returned to",
@@ -426,14 +461,15 @@
     }
 }
 
-/// What connections and requests may take, in all and by whom.
+/// The limits on connections and requests, with the shares of each holder.
 pub struct Budgets {
     /// Requests in flight, by listener, route and pool.
-    pub requests: Shared,
+    pub requests: SharedBudget,
     /// Connections of both sides, by listener and pool.
-    pub connections: Shared,
-    /// Callers' connections, by listener.
-    pub callers: Shared,
-    /// Copies in flight, by shadow pool: they take nothing of what requests may have.
-    pub copies: Shared,
+    pub connections: SharedBudget,
+    /// Connections of callers, by listener.
+    pub callers: SharedBudget,
+    /// Mirrored requests in flight, by the pool that they go to: they take nothing from the limit on
+    /// requests.
+    pub copies: SharedBudget,
 }
--- a/crates/serve/src/rounds.rs
+++ b/crates/serve/src/rounds.rs
@@ -1,61 +1,64 @@
-//! The rounds of the event loop: when this process last looked at its sockets, and for how long it was kept from it.
+//! Times of the rounds of the event loop: when this process last polled its sockets, and for how long data
+//! may have waited unread because the process was busy or was not scheduled.
 
 use calloop::{EventIterator, EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A wait that was over within this found what had come before it began.
-const AT_ONCE: Duration = Duration::from_millis(1);
+/// A wait shorter than this found events that had arrived before it began.
+const IMMEDIATE_WAIT: Duration = Duration::from_millis(1);
 
-/// What is known of the present round, which begins when a wait is over.
+/// Times of the present round, which begins when a wait ends, and of the one before.
 pub struct Rounds {
-    /// When the wait before the present one began.
-    looked: Instant,
-    /// When the present round's wait began, and when it was to be over at the latest.
-    waits_from: Instant,
-    waits_until: Option<Instant>,
-    /// When the wait before was over, and the present one.
-    woke_before: Instant,
-    woke: Rc<Cell<Instant>>,
+    /// When the previous round's wait began.
+    previous_wait_began: Instant,
+    /// When the present round's wait began.
+    wait_began: Instant,
+    /// When the present round's wait was to end at the latest; `None`: only by an event.
+    wait_until: Option<Instant>,
+    /// When the previous round's wait ended.
+    previous_wake: Instant,
+    /// When the present round's wait ended; set by the [`Waker`].
+    last_wake: Rc<Cell<Instant>>,
 }
 
-/// Notes when a wait is over, before any event of its round is handled.
+/// Records when a wait ends, before any event of its round is handled.
 pub struct Waker(Rc<Cell<Instant>>);
 
 impl Rounds {
-    /// The event loop starts now.
+    /// The state when the event loop starts, at `now`.
     pub fn new(now: Instant) -> Rounds {
-        let woke = Rc::new(Cell::new(now));
-        Rounds { looked: now, waits_from: now, waits_until: None, woke_before: now, woke }
+        let last_wake = Rc::new(Cell::new(now));
+        Rounds { previous_wait_began: now, wait_began: now, wait_until: None, previous_wake: now, last_wake }
     }
 
-    /// What the event loop has to hold for rounds to be known.
+    /// The event source to insert into the event loop, which reports the end of each wait.
     pub fn waker(&self) -> Waker {
-        Waker(self.woke.clone())
+        Waker(self.last_wake.clone())
     }
 
-    /// The event loop waits from now on, until this time at the latest.
-    pub fn wait(&mut self, now: Instant, until: Option<Instant>) {
-        self.looked = self.waits_from;
-        self.woke_before = self.woke.get();
-        (self.waits_from, self.waits_until) = (now, until);
+    /// Records that the event loop begins to wait at `now`, until `until` at the latest.
+    pub fn begin_wait(&mut self, now: Instant, until: Option<Instant>) {
+        self.previous_wait_began = self.wait_began;
+        self.previous_wake = self.last_wake.get();
+        (self.wait_began, self.wait_until) = (now, until);
     }
 
-    /// When the sockets were last looked at before the present round: what is read in this round came later.
-    pub fn looked(&self) -> Instant {
-        self.looked
+    /// When the sockets were last polled before the present round: what is read in this round arrived later.
+    pub fn last_polled_at(&self) -> Instant {
+        self.previous_wait_began
     }
 
-    /// For how long before `now` something that this round found may have been there unread: since the wait was over, or was
-    /// to be over, and since the wait before, if this one found it at once. While it waits, a process is not held up, as far
-    /// as it can know.
-    pub fn held_up(&self, now: Instant) -> Duration {
-        let woke = self.woke.get();
-        let found_at_once = woke.saturating_duration_since(self.waits_from) < AT_ONCE;
-        let since = match found_at_once {
-            true => self.woke_before,
-            false => self.waits_until.map_or(woke, |until| until.min(woke)),
+    /// For how long before `now` an event that this round found may have been waiting unread: since the wait
+    /// ended, or should have ended; or since the previous wait ended, if the present one found the event
+    /// immediately. While the process waits, it can't know of any delay.
+    pub fn local_delay(&self, now: Instant) -> Duration {
+        let last_wake = self.last_wake.get();
+        let found_immediately = last_wake.saturating_duration_since(self.wait_began) < IMMEDIATE_WAIT;
+        let since = match found_immediately {
+            true => self.previous_wake,
+            false => self.wait_until.map_or(last_wake, |until| until.min(last_wake)),
         };
         now.saturating_duration_since(since)
     }
--- a/crates/serve/src/rounds_tests.rs
+++ b/crates/serve/src/rounds_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how long this process was kept from its sockets.
+//! Tests of how long an event may have waited unread in this process.
 
 use super::*;
 
@@ -6,43 +6,44 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A round whose wait began after the wait before was over for 5 ms, was to last 20 ms, and was over after `waited`.
-fn held_up(waited: Duration, read_after: Duration) -> Duration {
+/// The delay of an event read `read_after` after a wait ended. The wait began 5 ms after the previous one had
+/// ended, was to last 20 ms, and ended after `waited`.
+fn local_delay(waited: Duration, read_after: Duration) -> Duration {
     let start = Instant::now();
     let mut rounds = Rounds::new(start);
-    let waits_from = start + ms(5);
-    rounds.wait(waits_from, Some(waits_from + ms(20)));
-    rounds.woke.set(waits_from + waited);
-    rounds.held_up(waits_from + waited + read_after)
+    let wait_began = start + ms(5);
+    rounds.begin_wait(wait_began, Some(wait_began + ms(20)));
+    rounds.last_wake.set(wait_began + waited);
+    rounds.local_delay(wait_began + waited + read_after)
 }
 
 #[test]
-fn a_wait_in_time_holds_nothing_up() {
-    assert_eq!(held_up(ms(10), ms(0)), ms(0));
+fn a_wait_that_ends_in_time_gives_no_delay() {
+    assert_eq!(local_delay(ms(10), ms(0)), ms(0));
 }
 
 #[test]
-fn what_is_read_late_in_a_round_was_held_up_since_its_wait() {
-    assert_eq!(held_up(ms(10), ms(7)), ms(7));
+fn an_event_read_late_in_a_round_is_delayed_since_the_wait_ended() {
+    assert_eq!(local_delay(ms(10), ms(7)), ms(7));
 }
 
 #[test]
-fn what_is_found_at_once_may_have_come_in_the_round_before() {
-    assert_eq!(held_up(ms(0), ms(2)), ms(7));
+fn an_event_found_immediately_may_have_arrived_in_the_previous_round() {
+    assert_eq!(local_delay(ms(0), ms(2)), ms(7));
 }
 
 #[test]
-fn a_wait_that_is_over_too_late_held_up_since_its_end_was_due() {
-    assert_eq!(held_up(ms(170), ms(1)), ms(151));
+fn a_wait_that_ends_too_late_gives_a_delay_since_its_end_was_due() {
+    assert_eq!(local_delay(ms(170), ms(1)), ms(151));
 }
 
 #[test]
-fn the_last_look_is_the_wait_before() {
+fn the_sockets_were_last_polled_when_the_previous_wait_began() {
     let start = Instant::now();
     let mut rounds = Rounds::new(start);
-    rounds.wait(start + ms(3), None);
-    assert_eq!(rounds.looked(), start);
-    rounds.wait(start + ms(9), None);
-    assert_eq!(rounds.looked(), start + ms(3));
-    assert_eq!(rounds.held_up(start + ms(9)), ms(9), "nothing was waited for");
+    rounds.begin_wait(start + ms(3), None);
+    assert_eq!(rounds.last_polled_at(), start);
+    rounds.begin_wait(start + ms(9), None);
+    assert_eq!(rounds.last_polled_at(), start + ms(3));
+    assert_eq!(rounds.local_delay(start + ms(9)), ms(9), "the wait lasted no time");
 }
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -1,85 +1,94 @@
-//! The end: after SIGTERM the balancer goes on for a while, then closes what is idle and leaves when nothing
-//! is owed any more.
+//! The shutdown: after SIGTERM the balancer goes on for a while, then closes idle connections, and exits when
+//! no response is outstanding any more.
 
 use crate::Proxy;
 use slog::info;
 use std::time::{Duration, Instant};
 
-/// How far the end has come.
+/// The progress of the shutdown; the times are `None` before it begins.
 #[derive(Default)]
 pub struct Shutdown {
-    keep_until: Option<Instant>,
+    /// Until then connections are kept open between requests.
+    keep_alive_until: Option<Instant>,
+    /// Until then new connections are accepted.
     accept_until: Option<Instant>,
-    answer_by: Option<Instant>,
-    closing: bool,
-    deaf: bool,
+    /// When the last response has to be written.
+    respond_by: Option<Instant>,
+    /// Connections close after their present request.
+    is_closing: bool,
+    /// The listening sockets are closed.
+    stopped_listening: bool,
 }
 
 impl Shutdown {
     /// Connections close after their present request.
-    pub fn closing(&self) -> bool {
-        self.closing
+    pub fn is_closing(&self) -> bool {
+        self.is_closing
     }
 
-    /// The program was told to end.
-    pub fn ending(&self) -> bool {
-        self.keep_until.is_some()
+    /// Whether SIGTERM has been received.
+    pub fn has_begun(&self) -> bool {
+        self.keep_alive_until.is_some()
     }
 
-    /// When the last answer is due: who has told the program to end may not wait for longer.
-    pub fn answer_by(&self) -> Option<Instant> {
-        self.answer_by
+    /// When the last response has to be written: whoever ended the process may not wait longer for it. `None`
+    /// before SIGTERM.
+    pub fn respond_by(&self) -> Option<Instant> {
+        self.respond_by
     }
 
-    /// When its next step is due; at the end, whether the last peers have gone is looked at every `rest`.
-    pub fn next_wake(&self, rest: Duration) -> Option<Instant> {
-        match (self.closing, self.deaf) {
-            (false, _) => self.keep_until,
+    /// When the next step is due. Once the listening sockets are closed, the last connections are checked
+    /// every `interval`.
+    pub fn next_wake(&self, interval: Duration) -> Option<Instant> {
+        match (self.is_closing, self.stopped_listening) {
+            (false, _) => self.keep_alive_until,
             (true, false) => self.accept_until,
-            (true, true) => Some(Instant::now() + rest),
+            (true, true) => Some(Instant::now() + interval),
         }
     }
 }
 
 impl Proxy {
-    /// SIGTERM has come.
+    /// Begins the shutdown on SIGTERM; a second signal has no effect.
     pub fn begin_shutdown(&mut self) {
-        if self.shutdown.keep_until.is_none() {
+        if self.shutdown.keep_alive_until.is_none() {
             info!(self.net.log, "told to end");
             let now = Instant::now();
-            self.shutdown.keep_until = Some(now + self.net.limits.drain_keepalive);
+            self.shutdown.keep_alive_until = Some(now + self.net.limits.drain_keepalive);
             self.shutdown.accept_until = Some(now + self.net.limits.drain_accept_time);
-            self.shutdown.answer_by = Some(now + self.net.limits.drain_response_time);
+            self.shutdown.respond_by = Some(now + self.net.limits.drain_response_time);
         }
     }
 
-    /// Takes the steps that are due.
+    /// Performs the steps that are due.
     pub fn continue_shutdown(&mut self, now: Instant) {
-        if !self.shutdown.closing && self.shutdown.keep_until.is_some_and(|at| at <= now) {
-            self.shutdown.closing = true;
+        if !self.shutdown.is_closing && self.shutdown.keep_alive_until.is_some_and(|at| at <= now) {
+            self.shutdown.is_closing = true;
         }
-        if self.shutdown.closing || self.admin.close_idle(&self.net, now) {
+        if self.shutdown.is_closing || self.admin.close_idle(&self.net, now) {
             self.end_idle_callers(now, true);
         }
-        if self.shutdown.closing
-            && !self.shutdown.deaf
+        if self.shutdown.is_closing
+            && !self.shutdown.stopped_listening
             && self.shutdown.accept_until.is_some_and(|at| at <= now)
         {
-            // What the kernel has accepted meanwhile is taken already.
+            // Connections that the kernel has accepted meanwhile are accepted first.
             self.accept_all();
-            if self.callers.rests() && self.shutdown.answer_by.is_some_and(|by| now < by) {
-                // There is no room for some of it: closing the listener would reset them.
+            if self.callers.rests() && self.shutdown.respond_by.is_some_and(|by| now < by) {
+                // There is no room for some of them, and closing the listening socket would reset these.
                 self.shutdown.accept_until = Some(now + self.net.limits.accept_pause);
                 return;
             }
             self.callers.stop_listening(&self.net);
-            self.shutdown.deaf = true;
+            self.shutdown.stopped_listening = true;
         }
     }
 
-    /// Nothing is owed and nobody is listened to.
-    pub fn finished(&self) -> bool {
+    /// Whether the listening sockets are closed, no response is outstanding, and no connection lingers.
+    pub fn is_finished(&self) -> bool {
         let linger = self.net.limits.drain_linger;
-        self.shutdown.deaf && !self.exchanges.owes() && !self.callers.owes(Instant::now(), linger)
+        self.shutdown.stopped_listening
+            && !self.exchanges.owes()
+            && !self.callers.owes(Instant::now(), linger)
     }
 }
--- a/crates/serve/src/stats.rs
+++ b/crates/serve/src/stats.rs
@@ -89,9 +89,9 @@
     }
 
     /// The sums of all classes.
-    pub fn figures(&self) -> crate::export::Figures {
+    pub fn figures(&self) -> crate::export::MemberCounters {
         let sum = |of: fn(&Outcomes) -> u64| self.classes.values().map(of).sum();
-        crate::export::Figures {
+        crate::export::MemberCounters {
             completed: sum(|o| o.completed),
             rejected: sum(|o| o.rejected),
             failed: sum(|o| o.failed),
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -1,9 +1,9 @@
-//! The upstream side: attempts, and the pool of connections that they use one at a time.
+//! The upstream side: attempts, and the pooled connections that each carry one attempt at a time.
 
 use crate::http::{self, Answer, Request};
-use crate::lease::Lease;
 use crate::pools::PoolId;
 use crate::reasons::CloseReason;
+use crate::reservation::Reservation;
 use crate::rounds::Rounds;
 use crate::socket_errors::is_local_shortage;
 use crate::{ConnId, Net, Proxy, Reading, Watched};
@@ -17,180 +17,203 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An attempt: the request, and its number among the request's sends.
+/// An attempt: the request, and the attempt's number within that request.
 pub type Attempt = (RequestId, u32);
 
-/// An upstream of a pool.
+/// One upstream: the pool and the server's id in that pool's module.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Target {
     pub pool: PoolId,
     pub server: ServerId,
 }
 
-/// What the connections of one pool go by.
-pub struct Terms {
-    /// How long opening one may take.
-    pub connect: Duration,
-    /// How long one between requests is kept.
-    pub keep: Duration,
-    /// Whose share of the connections they are.
+/// The settings of the connections to one pool.
+pub struct ConnectionSettings {
+    /// The time-out for opening a connection.
+    pub connect_timeout: Duration,
+    /// How long an idle connection is kept open.
+    pub idle_timeout: Duration,
+    /// The holder whose share of the connections they count against.
     pub holder: HolderId,
-    /// Their share of the memory for unfinished answers.
+    /// Their share of the memory for incomplete responses, in bytes.
     pub memory: Share,
-    /// Any 2xx or 3xx answer serves a request; on the platform 200 alone does.
+    /// Any 2xx or 3xx response counts as success; on the platform only 200 does.
     pub any_success: bool,
 }
 
-/// How an attempt ended.
-pub struct Ended {
+/// The result of an attempt that has ended.
+pub struct AttemptResult {
     pub attempt: Attempt,
-    /// Where it was sent; `None`: nowhere.
+    /// The upstream that the attempt was meant for; `None` if it ended in this process before it concerned an
+    /// upstream.
     pub target: Option<Target>,
     pub code: Code,
+    /// The time from sending the attempt to its end.
     pub latency: Duration,
-    /// For how much of that this process did not look at its sockets.
-    pub held_up: Duration,
+    /// The part of `latency` in which this process may have had an event of the attempt unread.
+    pub local_delay: Duration,
+    /// The response, if one was received.
     pub answer: Option<Answer>,
 }
 
-struct Flight {
+/// An attempt that its connection carries at present.
+struct InFlight {
     attempt: Attempt,
-    sent: Instant,
-    /// Its request asks for no body.
-    head: bool,
-    /// For how long its connection may have been up unnoticed.
-    held_up: Duration,
+    /// When the attempt was sent, or queued for a connection that is still being opened.
+    sent_at: Instant,
+    /// The request's method is HEAD, so the response has no body.
+    is_head: bool,
+    /// For how long the connection may have been established before this process noticed.
+    local_delay: Duration,
 }
 
+/// A connection to an upstream.
 struct Conn {
     upstream: Target,
-    lease: Lease,
+    /// Its unit of the limit on connections.
+    reservation: Reservation,
     address: SocketAddr,
     socket: Watched,
-    /// It has come up.
-    open: bool,
+    /// The connection has been established.
+    is_open: bool,
+    /// The request of the present attempt; its first `written` bytes have been written.
     output: Vec<u8>,
     written: usize,
+    /// The bytes received of a response that is not complete.
     input: Vec<u8>,
-    flight: Option<Flight>,
+    /// The attempt that it carries; `None` while it is idle.
+    in_flight: Option<InFlight>,
+    /// When the last response ended, or when the connection was opened.
     idle_since: Instant,
 }
 
 /// The connections to upstreams.
 #[derive(Default)]
 pub struct Upstreams {
-    terms: FxHashMap<PoolId, Terms>,
+    settings: FxHashMap<PoolId, ConnectionSettings>,
+    /// Where each upstream is reached.
     addresses: FxHashMap<Target, SocketAddr>,
     conns: FxHashMap<ConnId, Conn>,
-    /// Idle connections of each upstream, the one used last at the end.
+    /// Idle connections of each upstream, the most recently used one last.
     idle: FxHashMap<Target, Vec<ConnId>>,
-    /// Upstreams that closed a connection unnoticed: how long theirs may idle, and when that was learned.
-    keeps: FxHashMap<Target, (Duration, Instant)>,
-    flights: FxHashMap<Attempt, ConnId>,
+    /// Upstreams that closed an idle connection before its time-out: the shorter idle time-out for them, and
+    /// when it was learned.
+    learned_idle_timeouts: FxHashMap<Target, (Duration, Instant)>,
+    /// The connection that carries each attempt.
+    connection_by_attempt: FxHashMap<Attempt, ConnId>,
+    /// Times at which an attempt may have to end, earliest first; the flag marks time-outs of opening a
+    /// connection.
     deadlines: BinaryHeap<Reverse<(Instant, Attempt, bool)>>,
 }
 
 impl Upstreams {
+    /// How many connections there are, idle ones included.
     pub fn count(&self) -> usize {
         self.conns.len()
     }
 
-    /// Whether a pool's connections hold more than they may of answers that are not whole.
-    fn hold_too_much(&self, pool: PoolId, capacity: usize) -> bool {
-        let mut held: BTreeMap<PoolId, (Share, usize)> =
-            self.terms.iter().map(|(&id, t)| (id, (t.memory, 0))).collect();
+    /// Whether the incomplete responses of a pool exceed its share of the memory for them.
+    fn exceeds_memory_share(&self, pool: PoolId, capacity: usize) -> bool {
+        let mut bytes_by_pool: BTreeMap<PoolId, (Share, usize)> =
+            self.settings.iter().map(|(&id, t)| (id, (t.memory, 0))).collect();
         for c in self.conns.values() {
-            held.entry(c.upstream.pool).or_default().1 += c.input.len();
+            bytes_by_pool.entry(c.upstream.pool).or_default().1 += c.input.len();
         }
-        let at = held.keys().position(|&p| p == pool).unwrap_or(usize::MAX);
-        exceeds_share(capacity, &held.into_values().collect::<Vec<_>>(), at)
+        let at = bytes_by_pool.keys().position(|&p| p == pool).unwrap_or(usize::MAX);
+        exceeds_share(capacity, &bytes_by_pool.into_values().collect::<Vec<_>>(), at)
     }
 
-    /// The terms of a pool's connections; at first, and whenever they have changed.
-    pub fn set_terms(&mut self, pool: PoolId, terms: Terms) {
-        self.terms.insert(pool, terms);
+    /// Sets the settings of a pool's connections, at first and whenever they have changed.
+    pub fn set_connection_settings(&mut self, pool: PoolId, settings: ConnectionSettings) {
+        self.settings.insert(pool, settings);
     }
 
-    /// A pool is no more: all that is known of its upstreams goes, and their idle connections. Nothing of it is in
-    /// flight any more.
+    /// Removes a pool's settings, what is known of its upstreams, and their idle connections. The pool has no
+    /// attempt in flight any more.
     pub fn remove_pool(&mut self, net: &Net, pool: PoolId) {
-        self.terms.remove(&pool);
+        self.settings.remove(&pool);
         self.addresses.retain(|t, _| t.pool != pool);
-        self.keeps.retain(|t, _| t.pool != pool);
+        self.learned_idle_timeouts.retain(|t, _| t.pool != pool);
         let idle: Vec<_> = self.idle.keys().filter(|t| t.pool == pool).copied().collect();
         for target in idle {
             self.close_idle(net, target);
         }
     }
 
-    /// Where this upstream is reached from now on; connections to its former address go.
-    pub fn moved(&mut self, net: &Net, upstream: Target, address: SocketAddr) {
+    /// Sets the address of an upstream; idle connections to its former address are closed.
+    pub fn set_address(&mut self, net: &Net, upstream: Target, address: SocketAddr) {
         if self.addresses.insert(upstream, address).is_some_and(|old| old != address) {
             self.close_idle(net, upstream);
         }
     }
 
-    /// How long a connection of this upstream may have been idle to be used again.
-    fn keep(&self, net: &Net, upstream: Target, now: Instant) -> Duration {
-        let fresh = |at: Instant| now.saturating_duration_since(at) < net.limits.learned_idle_timeout_ttl;
-        let learned = self.keeps.get(&upstream).filter(|(_, at)| fresh(*at));
-        let told = || self.terms.get(&upstream.pool).map_or(net.limits.upstream_idle_timeout, |t| t.keep);
-        learned.map_or_else(told, |(keep, _)| *keep)
+    /// How long a connection of this upstream may have been idle and still be reused.
+    fn idle_timeout(&self, net: &Net, upstream: Target, now: Instant) -> Duration {
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < net.limits.learned_idle_timeout_ttl;
+        let learned = self.learned_idle_timeouts.get(&upstream).filter(|(_, at)| is_fresh(*at));
+        let configured =
+            || self.settings.get(&upstream.pool).map_or(net.limits.upstream_idle_timeout, |t| t.idle_timeout);
+        learned.map_or_else(configured, |(idle_timeout, _)| *idle_timeout)
     }
 
-    /// Some machines close what is idle sooner than the settings say, and without a word: only the reset of the
-    /// next request tells. From then on their connections idle for less.
-    fn learn_keep(&mut self, net: &Net, conn: &Conn, flight: &Flight) {
-        let idle = flight.sent.saturating_duration_since(conn.idle_since);
-        let at_once = conn.input.is_empty() && flight.sent.elapsed() < net.limits.upstream_stale_break_window;
-        if at_once && idle >= net.limits.min_upstream_idle_timeout {
+    /// Shortens the idle time-out of an upstream that closed an idle connection. Some machines close idle
+    /// connections earlier than the settings say, and this process only notices by the reset of the next
+    /// request.
+    fn learn_idle_timeout(&mut self, net: &Net, conn: &Conn, in_flight: &InFlight) {
+        let idle = in_flight.sent_at.saturating_duration_since(conn.idle_since);
+        let broke_at_once =
+            conn.input.is_empty() && in_flight.sent_at.elapsed() < net.limits.upstream_stale_break_window;
+        if broke_at_once && idle >= net.limits.min_upstream_idle_timeout {
             let now = Instant::now();
-            let keep = (idle * 3 / 4).max(net.limits.min_upstream_idle_timeout);
-            let keep = keep.min(self.keep(net, conn.upstream, now));
-            self.keeps.insert(conn.upstream, (keep, now));
+            let idle_timeout = (idle * 3 / 4).max(net.limits.min_upstream_idle_timeout);
+            let idle_timeout = idle_timeout.min(self.idle_timeout(net, conn.upstream, now));
+            self.learned_idle_timeouts.insert(conn.upstream, (idle_timeout, now));
         }
     }
 
     /// Closes an upstream's idle connections.
     pub fn close_idle(&mut self, net: &Net, upstream: Target) {
-        self.keeps.remove(&upstream);
+        self.learned_idle_timeouts.remove(&upstream);
         for id in self.idle.remove(&upstream).unwrap_or_default() {
             if let Some(conn) = self.conns.remove(&id) {
-                debug!(net.log, "an upstream's connection closes"; "connection" => id, "reason" => %CloseReason::UpstreamLeft);
+                debug!(net.log, "an upstream's connection closes"; "connection" => id,
+                    "reason" => %CloseReason::UpstreamLeft);
                 net.unwatch(conn.socket);
             }
         }
     }
 
-    /// Closes the connection that has been idle for longest, of those whose place helps.
-    pub fn close_oldest_idle(&mut self, net: &Net, helps: impl Fn(&Lease) -> bool) -> bool {
-        let fits = |id: &&ConnId| self.conns.get(*id).is_some_and(|c| helps(&c.lease));
+    /// Closes the connection that has been idle for longest, of those whose reservation is useful to the
+    /// caller. Returns whether there was one.
+    pub fn close_oldest_idle(&mut self, net: &Net, is_useful: impl Fn(&Reservation) -> bool) -> bool {
+        let fits = |id: &&ConnId| self.conns.get(*id).is_some_and(|c| is_useful(&c.reservation));
         let oldest = self.idle.values().filter_map(|ids| ids.iter().find(fits));
         let oldest = oldest.min_by_key(|id| self.conns.get(id).map(|c| c.idle_since)).copied();
         oldest.is_some_and(|id| self.remove(net, id, CloseReason::Displaced).is_some())
     }
 
-    /// Drops connections idle for too long, well before the upstream would.
+    /// Closes connections that have been idle for too long, well before the upstream would.
     pub fn sweep(&mut self, net: &Net, now: Instant) {
-        let old = |c: &Conn| now.saturating_duration_since(c.idle_since) >= self.keep(net, c.upstream, now);
+        let is_expired =
+            |c: &Conn| now.saturating_duration_since(c.idle_since) >= self.idle_timeout(net, c.upstream, now);
         let ids = self.idle.values().flatten().copied();
-        let ids: Vec<_> = ids.filter(|id| self.conns.get(id).is_some_and(old)).collect();
+        let ids: Vec<_> = ids.filter(|id| self.conns.get(id).is_some_and(is_expired)).collect();
         for id in ids {
             self.remove(net, id, CloseReason::Idle);
         }
     }
 
-    /// The next time that an attempt's time may be up.
+    /// The next time at which an attempt may have to end.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.peek().map(|d| d.0 .0)
     }
 
-    /// Removes a connection, with the attempt that it carried.
+    /// Removes and closes a connection, with the attempt that it carried.
     fn remove(&mut self, net: &Net, id: ConnId, reason: CloseReason) -> Option<Conn> {
         let conn = self.conns.remove(&id)?;
         debug!(net.log, "an upstream's connection closes"; "connection" => id, "reason" => %reason);
-        if let Some(flight) = &conn.flight {
-            self.flights.remove(&flight.attempt);
+        if let Some(in_flight) = &conn.in_flight {
+            self.connection_by_attempt.remove(&in_flight.attempt);
         } else if let Some(ids) = self.idle.get_mut(&conn.upstream) {
             ids.retain(|&i| i != id);
         }
@@ -198,25 +221,27 @@
         Some(conn)
     }
 
-    /// The idle connection used last, of those that have rested. One that its upstream has closed would answer with a
-    /// reset: it is dropped, even if the event loop has not heard of it yet. What may not be repeated takes none that
-    /// is near its end (`once`), as the close may be on its way.
-    fn take_idle(&mut self, net: &Net, upstream: Target, once: bool) -> Option<ConnId> {
+    /// Takes the most recently used idle connection, of those idle for at least `upstream_reuse_delay`. A
+    /// request on a connection that its upstream has closed would get a reset: such a connection is closed,
+    /// even if the event loop has not reported it yet. A request that may not be repeated
+    /// (`must_not_repeat`) gets none that has used up half of its idle time-out, as the upstream's close
+    /// may be on its way.
+    fn take_idle(&mut self, net: &Net, upstream: Target, must_not_repeat: bool) -> Option<ConnId> {
         let now = Instant::now();
-        let keep = self.keep(net, upstream, now);
-        let rested = now.checked_sub(net.limits.upstream_reuse_delay)?;
+        let idle_timeout = self.idle_timeout(net, upstream, now);
+        let idle_before = now.checked_sub(net.limits.upstream_reuse_delay)?;
         loop {
             let ids = self.idle.get_mut(&upstream)?;
             let conns = &self.conns;
-            let at = ids.iter().rposition(|id| conns.get(id).is_none_or(|c| c.idle_since <= rested))?;
+            let at = ids.iter().rposition(|id| conns.get(id).is_none_or(|c| c.idle_since <= idle_before))?;
             let id = ids[at];
-            let idle = conns.get(&id).map_or(keep, |c| now.saturating_duration_since(c.idle_since));
-            if once && idle < keep && idle * 2 >= keep {
-                return None; // the others have been idle for longer
+            let idle = conns.get(&id).map_or(idle_timeout, |c| now.saturating_duration_since(c.idle_since));
+            if must_not_repeat && idle < idle_timeout && idle * 2 >= idle_timeout {
+                return None; // the other connections have been idle for longer
             }
-            let quiet =
+            let is_quiet =
                 |c: &Conn| c.socket.stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
-            if idle < keep && conns.get(&id).is_some_and(quiet) {
+            if idle < idle_timeout && conns.get(&id).is_some_and(is_quiet) {
                 ids.remove(at);
                 return Some(id);
             }
@@ -226,53 +251,54 @@
         }
     }
 
-    /// Gives up an attempt that is not written whole: it can't run any more.
-    pub fn drop_unwritten(&mut self, net: &Net, attempt: Attempt) -> Option<Ended> {
-        let id = *self.flights.get(&attempt)?;
-        self.conns.get(&id).filter(|c| c.unwritten())?;
+    /// Cancels an attempt whose request is not written completely: it can't run any more.
+    pub fn cancel_unwritten(&mut self, net: &Net, attempt: Attempt) -> Option<AttemptResult> {
+        let id = *self.connection_by_attempt.get(&attempt)?;
+        self.conns.get(&id).filter(|c| c.is_unwritten())?;
         let conn = self.remove(net, id, CloseReason::Cancelled)?;
-        Some(conn.flight.as_ref()?.end(Code::Moot, &net.rounds).at(conn.upstream))
+        Some(conn.in_flight.as_ref()?.result(Code::Moot, &net.rounds).with_target(conn.upstream))
     }
 
-    /// The attempts at an upstream of which nothing is written yet.
-    pub fn unbegun(&self, upstream: Target) -> Vec<Attempt> {
-        let unbegun = self.conns.values().filter(|c| c.upstream == upstream && c.written == 0);
-        unbegun.filter_map(|c| c.flight.as_ref()).map(|f| f.attempt).collect()
+    /// The attempts at an upstream of whose request no byte has been written.
+    pub fn unwritten_attempts(&self, upstream: Target) -> Vec<Attempt> {
+        let unwritten_attempts = self.conns.values().filter(|c| c.upstream == upstream && c.written == 0);
+        unwritten_attempts.filter_map(|c| c.in_flight.as_ref()).map(|f| f.attempt).collect()
     }
 
-    /// Gives an attempt up: its connection closes.
-    pub fn cancel(&mut self, net: &Net, attempt: Attempt) -> Option<Ended> {
-        let id = *self.flights.get(&attempt)?;
+    /// Cancels an attempt by closing its connection.
+    pub fn cancel(&mut self, net: &Net, attempt: Attempt) -> Option<AttemptResult> {
+        let id = *self.connection_by_attempt.get(&attempt)?;
         let conn = self.remove(net, id, CloseReason::Cancelled)?;
-        Some(conn.flight.as_ref()?.end(Code::Cancelled, &net.rounds).at(conn.upstream))
+        Some(conn.in_flight.as_ref()?.result(Code::Cancelled, &net.rounds).with_target(conn.upstream))
     }
 }
 
-impl Ended {
-    /// The same, with where it was sent.
-    fn at(self, target: Target) -> Ended {
-        Ended { target: Some(target), ..self }
+impl AttemptResult {
+    /// The same result, with the upstream that it was sent to.
+    fn with_target(self, target: Target) -> AttemptResult {
+        AttemptResult { target: Some(target), ..self }
     }
 }
 
-impl Flight {
-    fn end(&self, code: Code, rounds: &Rounds) -> Ended {
+impl InFlight {
+    /// The result of the attempt if it ends now with this code.
+    fn result(&self, code: Code, rounds: &Rounds) -> AttemptResult {
         let now = Instant::now();
-        let latency = now.saturating_duration_since(self.sent);
-        let held_up = (self.held_up + rounds.held_up(now)).min(latency);
-        Ended { attempt: self.attempt, target: None, code, latency, held_up, answer: None }
+        let latency = now.saturating_duration_since(self.sent_at);
+        let local_delay = (self.local_delay + rounds.local_delay(now)).min(latency);
+        AttemptResult { attempt: self.attempt, target: None, code, latency, local_delay, answer: None }
     }
 }
 
 impl Conn {
-    /// Its request is not written whole, so it can't have run.
-    fn unwritten(&self) -> bool {
-        !self.open || self.written < self.output.len()
+    /// Whether its request is not written completely, and so can't have run.
+    fn is_unwritten(&self) -> bool {
+        !self.is_open || self.written < self.output.len()
     }
 
-    /// What its breaking means.
-    fn broken(&self) -> Code {
-        if self.unwritten() {
+    /// The code of the attempt if the connection breaks now.
+    fn code_if_broken(&self) -> Code {
+        if self.is_unwritten() {
             Code::ConnectFailed
         } else {
             Code::Reset
@@ -281,109 +307,118 @@
 }
 
 impl Proxy {
-    /// Sends an attempt on an idle connection, or on a new one; `once`: it may not be repeated.
+    /// Sends an attempt on an idle connection or on a new one; `must_not_repeat`: the request may not be
+    /// repeated.
     pub fn send_attempt(
         &mut self,
         attempt: Attempt,
         to: Target,
         request: &Request,
         timeout: Duration,
-        once: bool,
+        must_not_repeat: bool,
     ) {
         let sent = Instant::now();
         let zero = Duration::ZERO;
-        let failed = Ended {
+        let failed = AttemptResult {
             attempt,
             target: Some(to),
             code: Code::ConnectFailed,
             latency: zero,
-            held_up: zero,
+            local_delay: zero,
             answer: None,
         };
         let Some(&address) = self.upstreams.addresses.get(&to) else {
             return self.attempt_ended(failed);
         };
-        let id = match self.upstreams.take_idle(&self.net, to, once) {
+        let id = match self.upstreams.take_idle(&self.net, to, must_not_repeat) {
             Some(id) => id,
             None => {
-                let Some(terms) = self.upstreams.terms.get(&to.pool) else {
+                let Some(settings) = self.upstreams.settings.get(&to.pool) else {
                     return self.attempt_ended(failed);
                 };
-                let (holder, connect) = (terms.holder, terms.connect);
-                let Some(lease) = self.make_room(holder) else {
-                    warn!(self.net.log, "no connection is left for an attempt"; "upstreams" => self.upstreams.count(),
+                let (holder, connect_timeout) = (settings.holder, settings.connect_timeout);
+                let Some(reservation) = self.make_room(holder) else {
+                    warn!(self.net.log, "no connection is left for an attempt";
+                        "upstreams" => self.upstreams.count(),
                         "pool" => self.pool_name(to.pool));
-                    // It tells nothing of the upstream.
-                    return self.attempt_ended(Ended { target: None, code: Code::Moot, ..failed });
+                    // This failure says nothing about the upstream.
+                    return self.attempt_ended(AttemptResult { target: None, code: Code::Moot, ..failed });
                 };
                 let id = self.net.number();
                 let ready =
                     move |proxy: &mut Proxy, r: calloop::Readiness| proxy.upstream_ready(id, r.writable);
                 let socket = match crate::connect(address).and_then(|s| self.net.watch(s, ready)) {
                     Ok(socket) => socket,
-                    // It tells nothing of the upstream.
+                    // This failure says nothing about the upstream.
                     Err(e) if is_local_shortage(&e) => {
-                        return self.attempt_ended(Ended { target: None, code: Code::Moot, ..failed });
+                        return self.attempt_ended(AttemptResult {
+                            target: None,
+                            code: Code::Moot,
+                            ..failed
+                        });
                     }
                     Err(_) => return self.attempt_ended(failed),
                 };
                 let conn = Conn {
                     upstream: to,
-                    lease,
+                    reservation,
                     address,
                     socket,
-                    open: false,
+                    is_open: false,
                     output: Vec::new(),
                     written: 0,
                     input: Vec::new(),
-                    flight: None,
+                    in_flight: None,
                     idle_since: sent,
                 };
                 self.upstreams.conns.insert(id, conn);
-                let connect_by = sent + connect;
+                let connect_by = sent + connect_timeout;
                 self.upstreams.deadlines.push(Reverse((connect_by, attempt, true)));
                 id
             }
         };
         debug!(self.net.log, "sent"; "request" => attempt.0 .0, "attempt" => attempt.1,
-            "upstream" => self.upstream_name(to), "open" => self.upstreams.conns.get(&id).is_some_and(|c| c.open));
+            "upstream" => self.upstream_name(to),
+            "open" => self.upstreams.conns.get(&id).is_some_and(|c| c.is_open));
         self.upstreams.deadlines.push(Reverse((sent + timeout, attempt, false)));
-        self.upstreams.flights.insert(attempt, id);
+        self.upstreams.connection_by_attempt.insert(attempt, id);
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         conn.output.clear();
         conn.written = 0;
         conn.input.clear();
         http::write_request(&mut conn.output, request, &conn.address.to_string(), timeout);
-        conn.flight = Some(Flight { attempt, sent, head: request.method == "HEAD", held_up: zero });
-        if conn.open {
+        conn.in_flight =
+            Some(InFlight { attempt, sent_at: sent, is_head: request.method == "HEAD", local_delay: zero });
+        if conn.is_open {
             self.upstream_ready(id, true);
         }
     }
 
-    /// A connection has come up, can take more, or has brought something.
+    /// Handles a connection that has been established, has become writable, or has data to read.
     fn upstream_ready(&mut self, id: ConnId, writable: bool) {
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
-        if !conn.open {
+        if !conn.is_open {
             let failed = !matches!(conn.socket.stream.take_error(), Ok(None));
-            // Until it is up, only its becoming writable or its failing tells anything.
+            // Until the connection is established, only an error or its becoming writable is meaningful.
             if failed || (writable && conn.socket.stream.peer_addr().is_err()) {
-                return self.upstream_broken(id);
+                return self.upstream_connection_broken(id);
             }
             if !writable {
                 return;
             }
-            conn.open = true;
-            let held_up = self.net.rounds.held_up(Instant::now());
-            conn.flight.iter_mut().for_each(|f| f.held_up = held_up);
+            conn.is_open = true;
+            let local_delay = self.net.rounds.local_delay(Instant::now());
+            conn.in_flight.iter_mut().for_each(|f| f.local_delay = local_delay);
         }
-        // It was decided on when the connection was asked for, and that may be long ago; nor can it run before its last
-        // byte is written.
-        let unwritten = conn.flight.as_ref().filter(|_| conn.written < conn.output.len()).map(|f| f.attempt);
+        // The decision to send was made when the connection was requested, which may be long ago, so it is
+        // checked again: the request can't run before its last byte is written.
+        let unwritten =
+            conn.in_flight.as_ref().filter(|_| conn.written < conn.output.len()).map(|f| f.attempt);
         if unwritten.is_some_and(|(request, _)| self.end_if_client_left(request)) {
             return;
         }
         if let Some(attempt) = unwritten.filter(|a| !self.may_write(*a)) {
-            if let Some(ended) = self.upstreams.drop_unwritten(&self.net, attempt) {
+            if let Some(ended) = self.upstreams.cancel_unwritten(&self.net, attempt) {
                 self.attempt_ended(ended);
             }
             return;
@@ -391,100 +426,108 @@
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         let before = conn.written;
         let wrote = crate::write(&conn.socket.stream, &conn.output, &mut conn.written);
-        if conn.flight.is_some() && before < conn.output.len() && conn.written == conn.output.len() {
+        if conn.in_flight.is_some() && before < conn.output.len() && conn.written == conn.output.len() {
             self.stats.attempt_written();
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
-        let most = self.net.limits.max_response_bytes;
-        let reading = self.net.read(&conn.socket.stream, &mut conn.input, most);
-        if conn.flight.is_none() {
-            // An idle connection has nothing to say but that it ends.
+        let max_bytes = self.net.limits.max_response_bytes;
+        let reading = self.net.read(&conn.socket.stream, &mut conn.input, max_bytes);
+        if conn.in_flight.is_none() {
+            // On an idle connection, any event means that it ends.
             if reading != Reading::Open || !conn.input.is_empty() {
                 self.upstreams.remove(&self.net, id, CloseReason::Broken);
             }
             return;
         }
-        let large = conn.input.len() > self.net.limits.max_request_bytes;
+        let is_large = conn.input.len() > self.net.limits.max_request_bytes;
         let pool = conn.upstream.pool;
-        let crowded = large && self.upstreams.hold_too_much(pool, self.net.limits.max_long_responses_bytes);
+        let exceeds_memory =
+            is_large && self.upstreams.exceeds_memory_share(pool, self.net.limits.max_long_responses_bytes);
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         if !conn.input.is_empty() {
-            let head = conn.flight.as_ref().is_some_and(|f| f.head);
-            let parsed = http::answer(&conn.input, reading == Reading::Ended, head, &self.net.limits);
+            let is_head = conn.in_flight.as_ref().is_some_and(|f| f.is_head);
+            let parsed = http::answer(&conn.input, reading == Reading::Ended, is_head, &self.net.limits);
             match parsed {
-                Ok(Some(answer)) => return self.answered(id, answer, reading == Reading::Open),
-                Ok(None) if conn.input.len() <= most && !crowded => {}
+                Ok(Some(answer)) => return self.response_received(id, answer, reading == Reading::Open),
+                Ok(None) if conn.input.len() <= max_bytes && !exceeds_memory => {}
                 _ if reading == Reading::Broken => {}
                 _ => {
                     let why = match parsed {
                         Err(http::Bad(413)) => "longer than an answer may be",
                         Err(_) => "malformed",
-                        _ if crowded => "answers together hold too much",
+                        _ if exceeds_memory => "the pool's incomplete answers exceed its share of memory",
                         _ => "longer than an answer may be",
                     };
                     let (upstream, bytes) = (conn.upstream, conn.input.len());
                     let name = self.upstream_name(upstream);
-                    warn!(self.net.log, "an upstream's answer was not understood"; "upstream" => name, "why" => why,
+                    warn!(self.net.log, "an upstream's answer was not understood";
+                        "upstream" => name, "why" => why,
                         "bytes" => bytes);
-                    return self.upstream_broken(id);
+                    return self.upstream_connection_broken(id);
                 }
             }
         }
         if wrote.is_err() || reading != Reading::Open {
-            self.upstream_broken(id);
+            self.upstream_connection_broken(id);
         }
     }
 
-    fn answered(&mut self, id: ConnId, answer: Answer, open: bool) {
+    /// Ends an attempt with a complete response, and makes its connection idle if it can be reused.
+    fn response_received(&mut self, id: ConnId, answer: Answer, stays_open: bool) {
         let upstreams = &mut self.upstreams;
         let Some(conn) = upstreams.conns.get_mut(&id) else { return };
-        let terms = upstreams.terms.get(&conn.upstream.pool);
+        let settings = upstreams.settings.get(&conn.upstream.pool);
         let code = match answer.status {
             200 => Code::Ok,
-            200..=399 if terms.is_some_and(|t| t.any_success) => Code::Ok,
+            200..=399 if settings.is_some_and(|t| t.any_success) => Code::Ok,
             503 | 504 if answer.declined => Code::Full,
-            // Of the request, not of the upstream; three statuses say that a later try may do.
+            // The other 4xx statuses are caused by the request, not by the upstream; these three say that a
+            // later attempt may succeed.
             400..=499 if !matches!(answer.status, 408 | 425 | 429) => Code::Rejected,
             _ => Code::Error,
         };
-        let whole = conn.written == conn.output.len();
-        let Some(ended) = conn.flight.as_ref().map(|f| f.end(code, &self.net.rounds).at(conn.upstream))
+        let is_written = conn.written == conn.output.len();
+        let Some(ended) =
+            conn.in_flight.as_ref().map(|f| f.result(code, &self.net.rounds).with_target(conn.upstream))
         else {
             return;
         };
-        if open && whole && answer.keep_alive {
+        if stays_open && is_written && answer.keep_alive {
             let upstream = conn.upstream;
-            (conn.flight, conn.idle_since) = (None, Instant::now());
+            (conn.in_flight, conn.idle_since) = (None, Instant::now());
             conn.input.clear();
             conn.input.shrink_to(self.net.limits.read_chunk_bytes);
-            self.upstreams.flights.remove(&ended.attempt);
+            self.upstreams.connection_by_attempt.remove(&ended.attempt);
             self.upstreams.idle.entry(upstream).or_default().push(id);
         } else {
             self.upstreams.remove(&self.net, id, CloseReason::UpstreamLeft);
         }
-        self.attempt_ended(Ended { answer: Some(answer), ..ended });
+        self.attempt_ended(AttemptResult { answer: Some(answer), ..ended });
     }
 
-    fn upstream_broken(&mut self, id: ConnId) {
+    /// Removes a connection that broke or whose response can't be used, and ends its attempt.
+    fn upstream_connection_broken(&mut self, id: ConnId) {
         let Some(conn) = self.upstreams.remove(&self.net, id, CloseReason::Broken) else { return };
-        if let Some(flight) = &conn.flight {
-            self.upstreams.learn_keep(&self.net, &conn, flight);
-            self.attempt_ended(flight.end(conn.broken(), &self.net.rounds).at(conn.upstream));
+        if let Some(in_flight) = &conn.in_flight {
+            self.upstreams.learn_idle_timeout(&self.net, &conn, in_flight);
+            self.attempt_ended(
+                in_flight.result(conn.code_if_broken(), &self.net.rounds).with_target(conn.upstream),
+            );
         }
     }
 
-    /// Ends the attempts whose time is up, and those whose connection has not come up in time.
+    /// Ends the attempts that have timed out, and those whose connection was not established in time.
     pub fn expire_attempts(&mut self, now: Instant) {
         while self.upstreams.next_deadline().is_some_and(|at| at <= now) {
             let Some(Reverse((_, attempt, connecting))) = self.upstreams.deadlines.pop() else { return };
-            let Some(&id) = self.upstreams.flights.get(&attempt) else { continue };
-            if connecting && self.upstreams.conns.get(&id).is_some_and(|c| c.open) {
+            let Some(&id) = self.upstreams.connection_by_attempt.get(&attempt) else { continue };
+            if connecting && self.upstreams.conns.get(&id).is_some_and(|c| c.is_open) {
                 continue;
             }
             let Some(conn) = self.upstreams.remove(&self.net, id, CloseReason::TimedOut) else { continue };
-            let code = if conn.unwritten() { Code::ConnectFailed } else { Code::Timeout };
-            if let Some(flight) = &conn.flight {
-                self.attempt_ended(flight.end(code, &self.net.rounds).at(conn.upstream));
+            let code = if conn.is_unwritten() { Code::ConnectFailed } else { Code::Timeout };
+            if let Some(in_flight) = &conn.in_flight {
+                self.attempt_ended(in_flight.result(code, &self.net.rounds).with_target(conn.upstream));
             }
         }
     }
