--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -2,11 +2,11 @@
 //! this file makes it, reads the streamed lists and reports failures.
 
 use crate::discovered_hosts::{DiscoveredHosts, ListOutcome};
-use crate::http::{self, Bad, Chunks};
+use crate::http::{self, ChunkDecoder, HttpError};
 use crate::pools::PoolId;
 use crate::socket_errors::is_local_shortage;
 use crate::source::Source;
-use crate::{Proxy, Reading, Watched};
+use crate::{Proxy, ReadStatus, WatchedStream};
 use garnettally_config::platform::drain_host_lists;
 use garnettally_decisions::facade::{CallFailure, Report};
 use garnettally_model::HostList;
@@ -20,14 +20,14 @@
     number: u64,
     /// When the call was made.
     called_at: Instant,
-    socket: Watched,
+    socket: WatchedStream,
     /// The request; its first `written` bytes are on the connection.
     output: Vec<u8>,
     written: usize,
     /// Bytes received that are not decoded yet.
     input: Vec<u8>,
     /// The decoder of the chunked body; `None` until the head of the response is complete.
-    chunks: Option<Chunks>,
+    chunks: Option<ChunkDecoder>,
     /// Decoded body text of a list that has not arrived completely.
     list_text: Vec<u8>,
     /// When the last list or empty line was received; `None` until the first one, that is, while the watch is
@@ -159,7 +159,7 @@
 }
 
 /// The failure for a response whose status is not 200.
-fn bad_status(bad: Bad) -> BadResponse {
+fn bad_status(bad: HttpError) -> BadResponse {
     const SERVICE_UNAVAILABLE: u16 = 503;
     let failure = match bad.0 {
         SERVICE_UNAVAILABLE => CallFailure::Busy,
@@ -196,7 +196,7 @@
     /// Asks discovery for changes since the version received last. If a watch is open already, its list is
     /// confirmed to the module instead.
     pub fn start_watch(&mut self, pool: PoolId) {
-        let number = self.net.number();
+        let number = self.net.next_connection_id();
         if let Some(unchanged) = self.discovery(pool).and_then(|d| d.confirmation()) {
             return self.queue_list(pool, unchanged);
         }
@@ -229,7 +229,7 @@
             format!("GET /v1/endpoints?stream=1&index={version} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         let deadline = Instant::now() + self.net.limits.discovery_connect_timeout;
         info!(self.net.log, "discovery is asked"; "seq" => version, "call" => number);
-        self.stats.discovery_asked();
+        self.stats.record_discovery_call();
         if let Some(discovery) = self.discovery(pool) {
             discovery.watch = Some(Box::new(Watch {
                 number,
@@ -291,7 +291,7 @@
         warn!(self.net.log, "the watch on discovery failed"; "why" => why, "call" => call,
             "after_ms" => lasted,
             "was_open" => was_open, "silent_ms" => incomplete_for.as_millis(), "failure" => ?failed.failure);
-        self.stats.discovery_failed();
+        self.stats.record_discovery_failure();
         self.close_watch(pool);
         if let Some(discovery) = self.discovery(pool) {
             discovery.last_failure = Some(failed);
@@ -332,7 +332,7 @@
         };
         if watch.written < watch.output.len() && writable {
             watch.deadline = answer_by;
-            if let Err(e) = crate::write(&watch.socket.stream, &watch.output, &mut watch.written) {
+            if let Err(e) = crate::write_pending(&watch.socket.stream, &watch.output, &mut watch.written) {
                 return self.discovery_connection_ended(pool, ConnectionEnd::Broken, &e.to_string());
             }
         }
@@ -360,16 +360,16 @@
                 return self.discovery_response_failed(pool, bad);
             }
             match reading {
-                Reading::Open if has_more => {}
-                Reading::Open => return,
-                Reading::Ended => {
+                ReadStatus::Open if has_more => {}
+                ReadStatus::Open => return,
+                ReadStatus::Ended => {
                     return self.discovery_connection_ended(
                         pool,
                         ConnectionEnd::Closed,
                         "discovery closed the connection",
                     )
                 }
-                Reading::Broken => {
+                ReadStatus::Broken => {
                     return self.discovery_connection_ended(
                         pool,
                         ConnectionEnd::Broken,
@@ -387,17 +387,18 @@
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         if watch.chunks.is_none() {
-            let head = http::stream_head(&watch.input, &limits);
+            let head = http::parse_stream_head(&watch.input, &limits);
             let Some(n) = head.map_err(bad_status)? else { return Ok(()) };
             watch.input.drain(..n);
-            watch.chunks = Some(Chunks::default());
+            watch.chunks = Some(ChunkDecoder::default());
             self.discovery_response_started(pool);
         }
         let Some(discovery) = self.discovery(pool) else { return Ok(()) };
         let Some(watch) = discovery.watch.as_mut() else { return Ok(()) };
         let Some(chunks) = watch.chunks.as_mut() else { return Ok(()) };
         let before = watch.list_text.len();
-        let used = chunks.read(&watch.input, limits.max_discovery_line_bytes, &limits, &mut watch.list_text);
+        let used =
+            chunks.decode(&watch.input, limits.max_discovery_line_bytes, &limits, &mut watch.list_text);
         let used =
             used.map_err(|_| BadResponse::unreadable("the chunked encoding of its answer is malformed"))?;
         watch.input.drain(..used);
--- a/crates/serve/src/export.rs
+++ b/crates/serve/src/export.rs
@@ -3,7 +3,7 @@
 //! request is never repeated: the next interval sends newer counters under the next sequence number.
 
 use crate::duties::FleetDuties;
-use crate::{Net, Proxy, Reading, Watched};
+use crate::{Net, Proxy, ReadStatus, WatchedStream};
 use garnettally_config::file::Export as ExportConfig;
 use garnettally_link::Link;
 use rustc_hash::FxHashMap;
@@ -68,7 +68,7 @@
 struct SinkCall {
     /// The number of its connection, unique in the process.
     number: u64,
-    socket: Watched,
+    socket: WatchedStream,
     /// The request, once the connection is established; its first `written` bytes have been written.
     output: Vec<u8>,
     written: usize,
@@ -144,7 +144,7 @@
 
     /// Opens a connection to the sink.
     fn connect_to_sink(&mut self, net: &mut Net, now: Instant) {
-        let number = net.number();
+        let number = net.next_connection_id();
         let ready = move |proxy: &mut Proxy, r: calloop::Readiness| proxy.export_ready(number, r.writable);
         match crate::connect(self.config.address).and_then(|s| net.watch(s, ready)) {
             Ok(socket) => {
@@ -232,7 +232,7 @@
             }
         }
         let Some(call) = &mut self.call else { return };
-        if let Err(e) = crate::write(&call.socket.stream, &call.output, &mut call.written) {
+        if let Err(e) = crate::write_pending(&call.socket.stream, &call.output, &mut call.written) {
             return self.call_failed(net, &e.to_string());
         }
         let reading = net.read(&call.socket.stream, &mut call.input, MAX_RESPONSE_BYTES);
@@ -252,7 +252,7 @@
                 }
                 code => self.call_failed(net, &format!("it answered {code}")),
             },
-            (Ok(httparse::Status::Partial), Reading::Open) if call.input.len() <= MAX_RESPONSE_BYTES => {}
+            (Ok(httparse::Status::Partial), ReadStatus::Open) if call.input.len() <= MAX_RESPONSE_BYTES => {}
             _ => self.call_failed(net, "its answer can't be parsed"),
         }
     }
@@ -267,7 +267,7 @@
 
 impl Proxy {
     fn export_ready(&mut self, number: u64, writable: bool) {
-        let own = self.stats.figures();
+        let own = self.stats.totals();
         if let Some(fleet) = &mut self.fleet {
             fleet.export_ready(&mut self.net, own, (number, writable));
         }
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -2,7 +2,7 @@
 //! settings.
 
 use crate::discovery::Discovery;
-use crate::exchange::News;
+use crate::exchange::ModuleInput;
 use crate::fleet::PoolSnapshot;
 use crate::plan::PoolPlan;
 use crate::source::{whole_list, Source};
@@ -70,7 +70,7 @@
     /// The first call to discovery has been given its time, or the list was usable without it.
     is_started: bool,
     /// Input for the module's next turn, in the order of arrival.
-    queued: Vec<News>,
+    queued: Vec<ModuleInput>,
     /// When the first queued input arrived; `None` with an empty queue.
     first_queued_at: Option<Instant>,
 }
@@ -122,17 +122,17 @@
 
     /// Queues a report for the module's next turn.
     pub fn queue_report(&mut self, report: Report, now: Instant) {
-        self.queue_input(News::Known(report), now);
+        self.queue_input(ModuleInput::Report(report), now);
     }
 
     /// Queues an input for the module's next turn.
-    pub fn queue_input(&mut self, input: News, now: Instant) {
+    pub fn queue_input(&mut self, input: ModuleInput, now: Instant) {
         self.queued.push(input);
         self.first_queued_at.get_or_insert(now);
     }
 
     /// Empties the queue, and returns what was in it.
-    pub fn take_queued(&mut self) -> Vec<News> {
+    pub fn take_queued(&mut self) -> Vec<ModuleInput> {
         self.first_queued_at = None;
         std::mem::take(&mut self.queued)
     }
@@ -218,7 +218,7 @@
     pub fn add_pool(&mut self, plan: PoolPlan, seed: u64, now: Instant) -> PoolId {
         self.pools.last_id += 1;
         let id = PoolId(self.pools.last_id);
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let (mut source, initial_list) = Source::new(&plan.nodes, now);
         if let (Source::Watch(discovery), Some(known)) = (&mut source, &plan.known_list) {
             *discovery = Discovery::new(discovery.address(), Some(known));
@@ -274,7 +274,7 @@
 
     /// Applies a new version's settings to a pool that stays. Its instance of the module goes on.
     pub fn update_pool(&mut self, id: PoolId, plan: PoolPlan, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         let Some(pool) = self.pools.get_mut(id) else { return };
         self.budgets.requests.set_share(pool.requests, plan.requests);
         self.budgets.copies.set_share(pool.copies, plan.requests);
@@ -361,7 +361,7 @@
         let listed = !found.is_empty() || is_whole_list;
         pool.has_list |= is_whole_list;
         if !found.is_empty() {
-            pool.follow_wall_clock(now, self.net.clock.wall_ahead(Instant::now(), SystemTime::now()));
+            pool.follow_wall_clock(now, self.net.clock.wall_clock_offset(Instant::now(), SystemTime::now()));
         }
         let decisions = pool.decisions.report(now, report);
         if !listed {
@@ -400,7 +400,7 @@
             }
         }
         for target in departed {
-            self.leave_upstream(target);
+            self.withdraw_unbegun_attempts(target);
         }
         decisions
     }
@@ -427,7 +427,7 @@
 
     /// Records the result of an attempt for the health that failover goes by.
     pub fn record_attempt_result(&mut self, target: Target, code: Code, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
             pool.health.attempt_ended(at, target.server, code);
         }
@@ -445,7 +445,7 @@
 
     /// Updates the failover state of every pool from the health of its nodes.
     pub fn update_failover(&mut self, now: Instant) {
-        let at = self.net.clock.at(now);
+        let at = self.net.clock.unix_time(now);
         // Nothing is known of a pool before its first whole list.
         for pool in self.pools.all.values_mut().filter(|p| p.has_list) {
             let share = pool.health.healthy_share(at);
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -65,8 +65,8 @@
         if !self.shutdown.is_closing && self.shutdown.keep_alive_until.is_some_and(|at| at <= now) {
             self.shutdown.is_closing = true;
         }
-        if self.shutdown.is_closing || self.admin.close_idle(&self.net, now) {
-            self.end_idle_callers(now, true);
+        if self.shutdown.is_closing || self.admin.closes_idle(&self.net, now) {
+            self.close_idle_callers(now, true);
         }
         if self.shutdown.is_closing
             && !self.shutdown.stopped_listening
@@ -74,7 +74,7 @@
         {
             // Connections that the kernel has accepted meanwhile are accepted first.
             self.accept_all();
-            if self.callers.rests() && self.shutdown.respond_by.is_some_and(|by| now < by) {
+            if self.callers.is_accepting_paused() && self.shutdown.respond_by.is_some_and(|by| now < by) {
                 // There is no room for some of them, and closing the listening socket would reset these.
                 self.shutdown.accept_until = Some(now + self.net.limits.accept_pause);
                 return;
@@ -88,7 +88,7 @@
     pub fn is_finished(&self) -> bool {
         let linger = self.net.limits.drain_linger;
         self.shutdown.stopped_listening
-            && !self.exchanges.owes()
-            && !self.callers.owes(Instant::now(), linger)
+            && !self.exchanges.has_pending()
+            && !self.callers.has_outstanding_work(Instant::now(), linger)
     }
 }
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -1,12 +1,12 @@
 //! The upstream side: attempts, and the pooled connections that each carry one attempt at a time.
 
-use crate::http::{self, Answer, Request};
+use crate::http::{self, Request, Response};
 use crate::pools::PoolId;
 use crate::reasons::CloseReason;
 use crate::reservation::Reservation;
 use crate::rounds::Rounds;
 use crate::socket_errors::is_local_shortage;
-use crate::{ConnId, Net, Proxy, Reading, Watched};
+use crate::{ConnId, Net, Proxy, ReadStatus, WatchedStream};
 use garnettally_decisions::facade::{Code, RequestId, ServerId};
 use garnettally_routing::budget::{exceeds_share, HolderId, Share};
 use rustc_hash::FxHashMap;
@@ -53,7 +53,7 @@
     /// The part of `latency` in which this process may have had an event of the attempt unread.
     pub local_delay: Duration,
     /// The response, if one was received.
-    pub answer: Option<Answer>,
+    pub answer: Option<Response>,
 }
 
 /// An attempt that its connection carries at present.
@@ -73,7 +73,7 @@
     /// Its unit of the limit on connections.
     reservation: Reservation,
     address: SocketAddr,
-    socket: Watched,
+    socket: WatchedStream,
     /// The connection has been established.
     is_open: bool,
     /// The request of the present attempt; its first `written` bytes have been written.
@@ -217,7 +217,7 @@
         } else if let Some(ids) = self.idle.get_mut(&conn.upstream) {
             ids.retain(|&i| i != id);
         }
-        net.unwatch(Watched { stream: conn.socket.stream.clone(), token: conn.socket.token });
+        net.unwatch(WatchedStream { stream: conn.socket.stream.clone(), token: conn.socket.token });
         Some(conn)
     }
 
@@ -337,14 +337,14 @@
                     return self.attempt_ended(failed);
                 };
                 let (holder, connect_timeout) = (settings.holder, settings.connect_timeout);
-                let Some(reservation) = self.make_room(holder) else {
+                let Some(reservation) = self.acquire_connection(holder) else {
                     warn!(self.net.log, "no connection is left for an attempt";
                         "upstreams" => self.upstreams.count(),
                         "pool" => self.pool_name(to.pool));
                     // This failure says nothing about the upstream.
                     return self.attempt_ended(AttemptResult { target: None, code: Code::Moot, ..failed });
                 };
-                let id = self.net.number();
+                let id = self.net.next_connection_id();
                 let ready =
                     move |proxy: &mut Proxy, r: calloop::Readiness| proxy.upstream_ready(id, r.writable);
                 let socket = match crate::connect(address).and_then(|s| self.net.watch(s, ready)) {
@@ -425,16 +425,16 @@
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         let before = conn.written;
-        let wrote = crate::write(&conn.socket.stream, &conn.output, &mut conn.written);
+        let wrote = crate::write_pending(&conn.socket.stream, &conn.output, &mut conn.written);
         if conn.in_flight.is_some() && before < conn.output.len() && conn.written == conn.output.len() {
-            self.stats.attempt_written();
+            self.stats.record_attempt_written();
         }
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         let max_bytes = self.net.limits.max_response_bytes;
         let reading = self.net.read(&conn.socket.stream, &mut conn.input, max_bytes);
         if conn.in_flight.is_none() {
             // On an idle connection, any event means that it ends.
-            if reading != Reading::Open || !conn.input.is_empty() {
+            if reading != ReadStatus::Open || !conn.input.is_empty() {
                 self.upstreams.remove(&self.net, id, CloseReason::Broken);
             }
             return;
@@ -446,14 +446,15 @@
         let Some(conn) = self.upstreams.conns.get_mut(&id) else { return };
         if !conn.input.is_empty() {
             let is_head = conn.in_flight.as_ref().is_some_and(|f| f.is_head);
-            let parsed = http::answer(&conn.input, reading == Reading::Ended, is_head, &self.net.limits);
+            let parsed =
+                http::parse_response(&conn.input, reading == ReadStatus::Ended, is_head, &self.net.limits);
             match parsed {
-                Ok(Some(answer)) => return self.response_received(id, answer, reading == Reading::Open),
+                Ok(Some(answer)) => return self.response_received(id, answer, reading == ReadStatus::Open),
                 Ok(None) if conn.input.len() <= max_bytes && !exceeds_memory => {}
-                _ if reading == Reading::Broken => {}
+                _ if reading == ReadStatus::Broken => {}
                 _ => {
                     let why = match parsed {
-                        Err(http::Bad(413)) => "longer than an answer may be",
+                        Err(http::HttpError(413)) => "longer than an answer may be",
                         Err(_) => "malformed",
                         _ if exceeds_memory => "the pool's incomplete answers exceed its share of memory",
                         _ => "longer than an answer may be",
@@ -467,13 +468,13 @@
                 }
             }
         }
-        if wrote.is_err() || reading != Reading::Open {
+        if wrote.is_err() || reading != ReadStatus::Open {
             self.upstream_connection_broken(id);
         }
     }
 
     /// Ends an attempt with a complete response, and makes its connection idle if it can be reused.
-    fn response_received(&mut self, id: ConnId, answer: Answer, stays_open: bool) {
+    fn response_received(&mut self, id: ConnId, answer: Response, stays_open: bool) {
         let upstreams = &mut self.upstreams;
         let Some(conn) = upstreams.conns.get_mut(&id) else { return };
         let settings = upstreams.settings.get(&conn.upstream.pool);
