--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -39,9 +39,9 @@
 struct Conn {
     listener: ListenerId,
     /// The connection's unit of the budget for the connections of both sides.
-    connection_lease: Reservation,
+    connection_reservation: Reservation,
     /// The connection's unit of the budget for callers' connections.
-    caller_lease: Reservation,
+    caller_reservation: Reservation,
     socket: WatchedStream,
     state: ConnState,
     /// The bytes of requests that are received and not processed yet.
@@ -315,7 +315,7 @@
             // The budget of callers' connections is one larger than their limit, so that no connection is
             // closed for a new one that has not arrived.
             while let Err(why) = self.budgets.callers.check(&[Some(caller_holder)]) {
-                if !self.close_idle_caller_where(|c| c.caller_lease.would_admit(caller_holder, why)) {
+                if !self.close_idle_caller_where(|c| c.caller_reservation.would_admit(caller_holder, why)) {
                     return self.pause_accepting(listener_id, "no connection is idle");
                 }
             }
@@ -336,11 +336,11 @@
                 }
                 AcceptResult::Failed(_, e) => return self.pause_accepting(listener_id, &e.to_string()),
             };
-            let leases = (
+            let reservations = (
                 self.budgets.connections.reserve(&[Some(connection_holder)]),
                 self.budgets.callers.reserve(&[Some(caller_holder)]),
             );
-            let (Ok(connection_lease), Ok(caller_lease)) = leases else { continue };
+            let (Ok(connection_reservation), Ok(caller_reservation)) = reservations else { continue };
             let id = self.net.next_connection_id();
             let stream =
                 stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).map(|()| stream);
@@ -355,8 +355,8 @@
             };
             let conn = Conn {
                 listener: listener_id,
-                connection_lease,
-                caller_lease,
+                connection_reservation,
+                caller_reservation,
                 socket,
                 state: ConnState::Reading,
                 input: Vec::new(),
@@ -774,7 +774,7 @@
 
     /// Closes an idle connection whose unit of the budget lets a refused holder have one.
     pub fn close_idle_caller_admitting(&mut self, holder: HolderId, why: Refusal) -> bool {
-        self.close_idle_caller_where(|c| c.connection_lease.would_admit(holder, why))
+        self.close_idle_caller_where(|c| c.connection_reservation.would_admit(holder, why))
     }
 }
 
--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -21,7 +21,7 @@
     /// When the call was made.
     called_at: Instant,
     socket: WatchedStream,
-    /// The request; its first `written` bytes are on the connection.
+    /// The request; its first `written` bytes have been written.
     output: Vec<u8>,
     written: usize,
     /// Bytes received that are not decoded yet.
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -278,7 +278,7 @@
             Event::OtherVoters(life) => {
                 let member =
                     link.other_members().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str());
-                error!(net.log, "a member's file names other voters or another order; its messages are ignored";
+                error!(net.log, "a member's file names other voters or another order: messages ignored";
                     "member" => member);
             }
             Event::Damaged(why) => error!(net.log, "this voter's state can't be read"; "error" => why),
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -57,7 +57,7 @@
     /// The number of the pin's last recorded attempt.
     pin_number: u64,
     /// The request's unit of the request budgets, or the copy's unit of the budget for copies.
-    lease: Reservation,
+    reservation: Reservation,
     /// The listener that accepted the request; `None` for a copy.
     listener: Option<ListenerId>,
     /// The route of the operator's file; `None` for a copy and with the platform's protocol.
@@ -136,7 +136,9 @@
     ) -> Result<RequestId, AdmissionError> {
         let now = Instant::now();
         match self.admit_within_limits(listener, &mut request, now) {
-            Ok((admitted, lease)) => Ok(self.start_request(admitted, lease, caller, listener, request, now)),
+            Ok((admitted, reservation)) => {
+                Ok(self.start_request(admitted, reservation, caller, listener, request, now))
+            }
             Err(error) => {
                 if let AdmissionError::Refused { route: Some(r), .. } = &error {
                     let class = self.active_config.as_ref().map(|v| v.class(r.route.class).to_string());
@@ -164,7 +166,7 @@
         let holders =
             self.holders(admitted.pool, admitted.route.as_deref(), self.callers.request_holder(listener));
         match self.budgets.requests.reserve(&holders) {
-            Ok(lease) => Ok((admitted, lease)),
+            Ok(reservation) => Ok((admitted, reservation)),
             Err(_) => Err(AdmissionError::Refused { retry_after: Some(RETRY_AFTER), route: admitted.route }),
         }
     }
@@ -173,7 +175,7 @@
     fn start_request(
         &mut self,
         admitted: Admitted,
-        lease: Reservation,
+        reservation: Reservation,
         caller: ConnId,
         listener: ListenerId,
         request: Request,
@@ -184,7 +186,7 @@
         if let Some(shadow) = admitted.mirror {
             self.start_mirror_copy(shadow, &admitted, &request, now);
         }
-        self.start_exchange(admitted, Some(caller), Some(listener), request, lease, now)
+        self.start_exchange(admitted, Some(caller), Some(listener), request, reservation, now)
     }
 
     /// Creates the exchange of a request or of a mirrored copy, and submits it to its pool.
@@ -194,7 +196,7 @@
         caller: Option<ConnId>,
         listener: Option<ListenerId>,
         request: Rc<Request>,
-        lease: Reservation,
+        reservation: Reservation,
         now: Instant,
     ) -> RequestId {
         let micros = |d: Duration| Micros(d.as_micros() as i64);
@@ -227,7 +229,7 @@
             fallback_pools: admitted.fallback_pools,
             pin: admitted.pin,
             pin_number: 0,
-            lease,
+            reservation,
             listener,
             route: admitted.route,
             labels: admitted.labels,
@@ -259,7 +261,7 @@
         now: Instant,
     ) {
         let Some(pool) = self.pools.get(shadow) else { return };
-        let Ok(lease) = self.budgets.copies.reserve(&[Some(pool.copies)]) else { return };
+        let Ok(reservation) = self.budgets.copies.reserve(&[Some(pool.copies)]) else { return };
         let copy = Admitted {
             id: original.id.clone(),
             class: original.class,
@@ -277,7 +279,7 @@
             class_name: original.class_name.clone(),
             repeat_within: original.repeat_within,
         };
-        self.start_exchange(copy, None, None, request.clone(), lease, now);
+        self.start_exchange(copy, None, None, request.clone(), reservation, now);
     }
 
     /// Abandons a request whose client has closed its connection.
@@ -566,10 +568,10 @@
             let listener_holder = exchange.listener.and_then(|l| self.callers.request_holder(l));
             let pool_holder = self.pools.get(next).map(|p| p.requests);
             let holders = [pool_holder, exchange.route.as_ref().map(|r| r.holder), listener_holder];
-            let Ok(lease) = self.budgets.requests.reserve(&holders) else { continue };
+            let Ok(reservation) = self.budgets.requests.reserve(&holders) else { continue };
             let Some(mut exchange) = self.exchanges.open.remove(&request) else { return };
             self.pool_request_finished(exchange.pool);
-            exchange.lease = lease;
+            exchange.reservation = reservation;
             let (number, caller) = (self.exchanges.next_request_id(), exchange.caller);
             exchange.pool = next;
             (exchange.earlier_attempts, exchange.attempts) =
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -205,20 +205,22 @@
         (self.next_exchange_at, self.is_postponed) = (now + EXCHANGE_INTERVAL, false);
         self.exchanges.retain(|id, _| pools.iter().any(|p| p.id == *id));
         let max_age = Micros(self.settings.max_age.as_micros() as i64);
-        for p in pools {
-            let exchange =
-                self.exchanges.entry(p.id).or_insert_with(|| VerdictExchange::new(p.name, p.classes));
-            let name = |id: ServerId| p.decisions.upstream_name(id);
-            for n in exchange.known_node_count()..p.decisions.upstream_count() {
+        for pool in pools {
+            let exchange = self
+                .exchanges
+                .entry(pool.id)
+                .or_insert_with(|| VerdictExchange::new(pool.name, pool.classes));
+            let name = |id: ServerId| pool.decisions.upstream_name(id);
+            for n in exchange.known_node_count()..pool.decisions.upstream_count() {
                 let name = name(ServerId(n as u32));
                 self.names.insert((exchange.pool_hash(), name_hash(name)), name.to_string());
             }
-            exchange.register_nodes(p.decisions.upstream_count(), &name);
-            self.names.entry((0, exchange.pool_hash())).or_insert_with(|| p.name.to_string());
-            for class in p.classes {
+            exchange.register_nodes(pool.decisions.upstream_count(), &name);
+            self.names.entry((0, exchange.pool_hash())).or_insert_with(|| pool.name.to_string());
+            for class in pool.classes {
                 self.names.entry((0, name_hash(class))).or_insert_with(|| class.to_string());
             }
-            let findings = p.decisions.local_observations(at);
+            let findings = pool.decisions.local_observations(at);
             for (key, value, age) in exchange.collect_claims(at, &findings, max_age, name) {
                 self.link.publish(&key, &value, Duration::from_micros(age.0.max(0) as u64));
             }
@@ -231,13 +233,14 @@
         let claims: Vec<MemberClaim> = self.link.facts().filter_map(|f| read_claim(&f)).collect();
         let merged = self.merge_member_claims(&claims, pools);
         let mut verdicts = Vec::new();
-        for p in pools {
-            if let Some(exchange) = self.exchanges.get_mut(&p.id) {
-                let changed = exchange.update_verdicts(at, &merged, |id| p.decisions.upstream_started_at(id));
+        for pool in pools {
+            if let Some(exchange) = self.exchanges.get_mut(&pool.id) {
+                let changed =
+                    exchange.update_verdicts(at, &merged, |id| pool.decisions.upstream_started_at(id));
                 for verdict in &changed {
-                    self.log_verdict(log, p, verdict, &claims);
+                    self.log_verdict(log, pool, verdict, &claims);
                 }
-                verdicts.extend(changed.into_iter().map(|v| (p.id, v)));
+                verdicts.extend(changed.into_iter().map(|v| (pool.id, v)));
             }
         }
         // This counts what modules here act on: verdicts on their own pools, and on nodes since their last
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -4,8 +4,8 @@
 //! A request passes through the modules in this order: `callers` (listeners and their connections) reads it
 //! with the codec `http`, `admission` finds its route, class and pool, `exchange` tracks it until its
 //! response, `pools` runs the decision modules, and `upstreams` carries its attempts. `source` and
-//! `discovery` provide the lists of nodes, `reservation` accounts for what connections and requests take of the
-//! limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the process.
+//! `discovery` provide the lists of nodes, `reservation` accounts for what connections and requests take of
+//! the limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the process.
 //! `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties` runs the
 //! work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop passes to all
 //! of them.
@@ -362,7 +362,7 @@
     /// whether it may.
     fn make_room(&mut self, holder: HolderId) -> bool {
         while let Err(why) = self.budgets.connections.check(&[Some(holder)]) {
-            let helps = |lease: &Reservation| lease.would_admit(holder, why);
+            let helps = |reservation: &Reservation| reservation.would_admit(holder, why);
             if !self.upstreams.close_oldest_idle(&self.net, helps)
                 && !self.close_idle_caller_admitting(holder, why)
             {
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -377,12 +377,13 @@
         if is_whole_list {
             let named: rustc_hash::FxHashSet<ServerId> = found.iter().map(|f| f.0).collect();
             let removed = pool.health.retain_listed(|id| named.contains(&id));
-            // Where only draining binds, removal from the list is a hint that the module may doubt.
+            // Where only a listing as draining is binding, removal from the list is a hint that the module
+            // may doubt.
             departed.extend(
                 removed.iter().filter(|_| !removal_is_advisory).map(|&server| Target { pool: id, server }),
             );
-            // On the platform only draining binds: a server that the list leaves out may still get requests,
-            // and new connections are costly, so its idle ones stay open.
+            // On the platform only a listing as draining is binding: a server that the list leaves out may
+            // still get requests, and new connections are costly, so its idle ones stay open.
             for server in removed.into_iter().filter(|_| pool.identity.is_some()) {
                 self.upstreams.close_idle(&self.net, Target { pool: id, server });
             }
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -72,7 +72,8 @@
             && !self.shutdown.stopped_listening
             && self.shutdown.accept_until.is_some_and(|at| at <= now)
         {
-            // Connections that the kernel has accepted meanwhile are accepted first.
+            // Connections that the kernel has accepted meanwhile are taken over before the listening socket
+            // closes.
             self.accept_all();
             if self.callers.is_accepting_paused() && self.shutdown.respond_by.is_some_and(|by| now < by) {
                 // There is no room for some of them, and closing the listening socket would reset these.
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -83,7 +83,7 @@
     input: Vec<u8>,
     /// The attempt that it carries; `None` while it is idle.
     in_flight: Option<InFlight>,
-    /// When the last response ended, or when the connection was opened.
+    /// When the last response ended, or when the connection was requested.
     idle_since: Instant,
 }
 
