--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -5,10 +5,10 @@
 //! with the codec `http`, `admission` finds its route, class and pool, `exchange` tracks it until its
 //! response, `pools` runs the decision modules, and `upstreams` carries its attempts. `source` and
 //! `discovery` provide the lists of nodes, `reservation` accounts for what connections and requests take of
-//! the limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the process.
-//! `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties` runs the
-//! work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop passes to all
-//! of them.
+//! the limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the
+//! process. `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties`
+//! runs the work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop
+//! passes to all of them.
 #![forbid(unsafe_code)]
 
 mod admin;
