--- a/crates/serve/src/discovery.rs
+++ b/crates/serve/src/discovery.rs
@@ -209,7 +209,7 @@
         };
         let ready = move |proxy: &mut Proxy, r: calloop::Readiness| {
             // Another pool may have taken over the watch.
-            if let Some(pool) = proxy.pools.with_watch(number) {
+            if let Some(pool) = proxy.pools.pool_with_watch(number) {
                 proxy.discovery_ready(pool, number, r.writable);
             }
         };
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -185,7 +185,7 @@
     }
 
     /// The pool whose source has the watch with this number.
-    pub fn with_watch(&self, number: u64) -> Option<PoolId> {
+    pub fn pool_with_watch(&self, number: u64) -> Option<PoolId> {
         let has_watch = |p: &&Pool| matches!(&p.source, Source::Watch(d) if d.has_watch(number));
         self.all.values().find(has_watch).map(|p| p.id)
     }
