--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -3,9 +3,9 @@
 use crate::admission::AdmissionError;
 use crate::exchange::FinalResponse;
 use crate::http::{self, HttpError, Incoming, OutgoingResponse};
-use crate::lease::Lease;
 use crate::pools::Budgets;
 use crate::reasons::CloseReason;
+use crate::reservation::Reservation;
 use crate::socket_errors::{accept_failure, AcceptFailure};
 use crate::{ConnId, Net, Proxy, ReadStatus, WatchedStream};
 use calloop::generic::Generic;
@@ -39,9 +39,9 @@
 struct Conn {
     listener: ListenerId,
     /// The connection's unit of the budget for the connections of both sides.
-    connection_lease: Lease,
+    connection_reservation: Reservation,
     /// The connection's unit of the budget for callers' connections.
-    caller_lease: Lease,
+    caller_reservation: Reservation,
     socket: WatchedStream,
     state: ConnState,
     /// The bytes of requests that are received and not processed yet.
@@ -135,9 +135,9 @@
             address: config.address,
             socket: Some((listener, token)),
             paused_until: None,
-            connection_holder: budgets.connections.join(config.connections),
-            caller_holder: budgets.callers.join(config.connections),
-            request_holder: budgets.requests.join(config.requests),
+            connection_holder: budgets.connections.add_holder(config.connections),
+            caller_holder: budgets.callers.add_holder(config.connections),
+            request_holder: budgets.requests.add_holder(config.requests),
             memory_share: config.memory_bytes,
         };
         self.listeners.insert(id, listener);
@@ -153,9 +153,9 @@
     /// Changes the shares of a listener that a new configuration keeps.
     pub fn set_shares(&mut self, budgets: &Budgets, id: ListenerId, config: &ListenerConfig) {
         if let Some(listener) = self.listeners.get_mut(&id) {
-            budgets.connections.change(listener.connection_holder, config.connections);
-            budgets.callers.change(listener.caller_holder, config.connections);
-            budgets.requests.change(listener.request_holder, config.requests);
+            budgets.connections.set_share(listener.connection_holder, config.connections);
+            budgets.callers.set_share(listener.caller_holder, config.connections);
+            budgets.requests.set_share(listener.request_holder, config.requests);
             listener.memory_share = config.memory_bytes;
         }
     }
@@ -315,7 +315,7 @@
             // The budget of callers' connections is one larger than their limit, so that no connection is
             // closed for a new one that has not arrived.
             while let Err(why) = self.budgets.callers.check(&[Some(caller_holder)]) {
-                if !self.close_idle_caller_where(|c| c.caller_lease.helps(caller_holder, why)) {
+                if !self.close_idle_caller_where(|c| c.caller_reservation.would_admit(caller_holder, why)) {
                     return self.pause_accepting(listener_id, "no connection is idle");
                 }
             }
@@ -336,11 +336,11 @@
                 }
                 AcceptResult::Failed(_, e) => return self.pause_accepting(listener_id, &e.to_string()),
             };
-            let leases = (
-                self.budgets.connections.take(&[Some(connection_holder)]),
-                self.budgets.callers.take(&[Some(caller_holder)]),
+            let reservations = (
+                self.budgets.connections.reserve(&[Some(connection_holder)]),
+                self.budgets.callers.reserve(&[Some(caller_holder)]),
             );
-            let (Ok(connection_lease), Ok(caller_lease)) = leases else { continue };
+            let (Ok(connection_reservation), Ok(caller_reservation)) = reservations else { continue };
             let id = self.net.next_connection_id();
             let stream =
                 stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).map(|()| stream);
@@ -355,8 +355,8 @@
             };
             let conn = Conn {
                 listener: listener_id,
-                connection_lease,
-                caller_lease,
+                connection_reservation,
+                caller_reservation,
                 socket,
                 state: ConnState::Reading,
                 input: Vec::new(),
@@ -407,7 +407,7 @@
     /// that have no connection left.
     pub fn remove_closed_listeners(&mut self) {
         let closed = |l: &Listener| l.socket.is_none();
-        if self.shutdown.closing() || !self.callers.listeners.values().any(closed) {
+        if self.shutdown.is_closing() || !self.callers.listeners.values().any(closed) {
             return;
         }
         self.close_idle_callers(Instant::now(), false);
@@ -421,9 +421,9 @@
             .collect();
         for id in done {
             if let Some(listener) = self.callers.listeners.remove(&id) {
-                self.budgets.connections.leave(listener.connection_holder);
-                self.budgets.callers.leave(listener.caller_holder);
-                self.budgets.requests.leave(listener.request_holder);
+                self.budgets.connections.remove_holder(listener.connection_holder);
+                self.budgets.callers.remove_holder(listener.caller_holder);
+                self.budgets.requests.remove_holder(listener.request_holder);
             }
         }
     }
@@ -658,7 +658,7 @@
 
     /// Writes a response; afterwards the connection closes or accepts its next request.
     fn write_response(&mut self, id: ConnId, response: &OutgoingResponse<'_>) {
-        let closing = self.shutdown.closing()
+        let closing = self.shutdown.is_closing()
             || self.admin.draining()
             || self.callers.conns.get(&id).is_some_and(|conn| self.callers.is_listener_closed(conn));
         let Some(conn) = self.callers.conns.get_mut(&id) else { return };
@@ -774,7 +774,7 @@
 
     /// Closes an idle connection whose unit of the budget lets a refused holder have one.
     pub fn close_idle_caller_admitting(&mut self, holder: HolderId, why: Refusal) -> bool {
-        self.close_idle_caller_where(|c| c.connection_lease.helps(holder, why))
+        self.close_idle_caller_where(|c| c.connection_reservation.would_admit(holder, why))
     }
 }
 
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -4,29 +4,29 @@
 //! A request passes through the modules in this order: `callers` (listeners and their connections) reads it
 //! with the codec `http`, `admission` finds its route, class and pool, `exchange` tracks it until its
 //! response, `pools` runs the decision modules, and `upstreams` carries its attempts. `source` and
-//! `discovery` provide the lists of nodes, `lease` accounts for what connections and requests take of the
-//! limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the process.
-//! `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties` runs the
-//! work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop passes to all
-//! of them.
+//! `discovery` provide the lists of nodes, `reservation` accounts for what connections and requests take of
+//! the limits, `plan` describes what is served, `reload` applies changes to it, and `shutdown` ends the
+//! process. `fleet`, if the operator's file configures it, is the link to the other balancers, and `duties`
+//! runs the work that one member does on behalf of the fleet. [`Proxy`] is the state that the event loop
+//! passes to all of them.
 #![forbid(unsafe_code)]
 
 mod admin;
 mod admission;
 mod callers;
 mod clock;
+mod discovered_hosts;
 mod discovery;
 mod duties;
 mod exchange;
 mod export;
 mod fleet;
-mod held_list;
 mod http;
-mod lease;
 pub mod plan;
 mod pools;
 mod reasons;
 mod reload;
+mod reservation;
 mod rounds;
 mod shutdown;
 mod socket_errors;
@@ -43,9 +43,9 @@
 use garnettally_decisions::facade::Report;
 use garnettally_routing::budget::HolderId;
 use garnettally_routing::pins::Pins;
-use lease::{Lease, Shared};
-use plan::{Guide, Plan};
+use plan::{Plan, RequestMatching};
 use pools::PoolId;
+use reservation::{Reservation, SharedBudget};
 use rounds::Rounds;
 use slog::{info, Logger};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -74,7 +74,7 @@
     /// Seeds the random numbers of new pools.
     seed: u64,
     log_requests: LogRequests,
-    reload: reload::Reloads,
+    reload: reload::ReloadState,
     shutdown: shutdown::Shutdown,
     admin: admin::Admin,
     /// The link to the other balancers; `None` unless the operator's file has `[fleet]`.
@@ -202,10 +202,10 @@
     waker.map_err(|e| format!("event loop: {e}"))?;
     let net = Net { handle: events.handle(), log, rng, rounds, scratch, limits, clock, last_connection: 0 };
     let budgets = pools::Budgets {
-        requests: Shared::new(plan.requests),
-        connections: Shared::new(net.limits.max_connections),
-        callers: Shared::new(net.limits.max_caller_connections + 1),
-        copies: Shared::new(usize::MAX),
+        requests: SharedBudget::new(plan.max_requests),
+        connections: SharedBudget::new(net.limits.max_connections),
+        callers: SharedBudget::new(net.limits.max_caller_connections + 1),
+        copies: SharedBudget::new(usize::MAX),
     };
     let mut callers = callers::Callers::default();
     for listener in plan.listeners {
@@ -227,11 +227,11 @@
         upstreams: upstreams::Upstreams::default(),
         exchanges: exchange::Exchanges::default(),
         active_config: None,
-        pins: Pins::new(plan.pins),
+        pins: Pins::new(plan.max_pinned_keys),
         key_seed,
         seed: plan.seed,
         log_requests: plan.log_requests,
-        reload: reload::Reloads::new(plan.reload),
+        reload: reload::ReloadState::new(plan.reload),
         shutdown: shutdown::Shutdown::default(),
         admin: admin::Admin::default(),
         fleet: None,
@@ -251,12 +251,12 @@
     for pool in &plan.pools {
         pool.site.names.classes().iter().for_each(|c| proxy.stats.register_class(c));
     }
-    if let (Guide::Platform, Some(pool)) = (&plan.guide, plan.pools.first()) {
-        proxy.reload.settings = Some(reload::fingerprint(&pool.site));
+    if let (RequestMatching::Platform, Some(pool)) = (&plan.matching, plan.pools.first()) {
+        proxy.reload.platform_settings = Some(reload::fingerprint(&pool.site));
     }
     let pools = plan.pools.into_iter().map(|pool| proxy.add_pool(pool, plan.seed, now)).collect();
-    if let Guide::Routes(operator) = plan.guide {
-        proxy.put_in_force(*operator, pools);
+    if let RequestMatching::Routes(operator) = plan.matching {
+        proxy.activate_version(*operator, pools);
     }
     events
         .handle()
@@ -268,10 +268,10 @@
             _ => proxy.begin_shutdown(),
         })
         .map_err(|e| e.to_string())?;
-    while !proxy.finished() {
+    while !proxy.is_finished() {
         let wake_at = proxy.next_wake();
         let now = Instant::now();
-        proxy.net.rounds.wait(now, wake_at);
+        proxy.net.rounds.begin_wait(now, wake_at);
         let timeout = wake_at.map(|at| at.saturating_duration_since(now));
         events.dispatch(timeout, &mut proxy).map_err(|e| format!("event loop: {e}"))?;
         proxy.run_due_work(Instant::now());
@@ -288,17 +288,17 @@
     /// Does the work that is due by time, after each round of the event loop.
     fn run_due_work(&mut self, now: Instant) {
         self.expire_attempts(now);
-        self.tend_sources(now);
+        self.run_due_sources(now);
         self.continue_reload(now);
-        self.finish_retune(false);
+        self.finish_replacement(false);
         self.admin.sweep(&self.net, now);
         if now >= self.next_sweep {
             self.next_sweep = now + self.net.limits.sweep_interval;
             self.sweep_callers(now);
             self.upstreams.sweep(&self.net, now);
-            self.review_pools(now);
+            self.update_failover(now);
             self.remove_closed_listeners();
-            self.end_left_pools();
+            self.remove_retired_pools();
             self.pins.expire(self.net.clock.unix_time(now));
         }
         self.resume_accepting(now);
@@ -311,23 +311,24 @@
     /// Runs the fleet link's own work, and exchanges reports between the decision modules and the other
     /// members.
     fn exchange_with_fleet(&mut self, now: Instant) {
-        let drained = self.shutdown.ending() || self.admin.draining();
+        let drained = self.shutdown.has_begun() || self.admin.draining();
         // Responses that are read but not yet reported to the modules would count as missing.
-        let has_queued = self.pools.iter().any(|p| p.first_news().is_some());
+        let has_queued = self.pools.iter().any(|p| p.first_queued_at().is_some());
         let modules_run_at = self.next_module_run().filter(|_| has_queued);
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.drain(drained);
-        fleet.turn(&mut self.net, self.stats.totals(), now);
-        if !fleet.looks(now) || modules_run_at.is_some_and(|at| fleet.postpone_look(at)) {
+        fleet.set_draining(drained);
+        fleet.run_due_work(&mut self.net, self.stats.totals(), now);
+        if !fleet.is_exchange_due(now) || modules_run_at.is_some_and(|at| fleet.postpone_exchange(at)) {
             return;
         }
-        let seen: Vec<fleet::Seen<'_>> = self.pools.iter().filter(|p| !p.leaving).map(|p| p.seen()).collect();
-        let peer_verdicts = fleet.look(&self.net.log, now, self.net.clock.unix_time(now), &seen);
-        let share = fleet.share();
-        self.share_pools(share);
+        let seen: Vec<fleet::PoolSnapshot<'_>> =
+            self.pools.iter().filter(|p| !p.is_retired).map(|p| p.snapshot()).collect();
+        let peer_verdicts = fleet.exchange_verdicts(&self.net.log, now, self.net.clock.unix_time(now), &seen);
+        let share = fleet.size_and_index();
+        self.report_fleet_share(share);
         for (id, verdict) in peer_verdicts {
             if let Some(pool) = self.pools.get_mut(id) {
-                pool.queue(Report::PeerVerdict(verdict), now);
+                pool.queue_report(Report::PeerVerdict(verdict), now);
             }
         }
     }
@@ -361,7 +362,7 @@
     /// whether it may.
     fn make_room(&mut self, holder: HolderId) -> bool {
         while let Err(why) = self.budgets.connections.check(&[Some(holder)]) {
-            let helps = |lease: &Lease| lease.helps(holder, why);
+            let helps = |reservation: &Reservation| reservation.would_admit(holder, why);
             if !self.upstreams.close_oldest_idle(&self.net, helps)
                 && !self.close_idle_caller_admitting(holder, why)
             {
@@ -372,9 +373,9 @@
     }
 
     /// Takes one connection of this holder from the limits, if necessary after closing idle ones.
-    fn acquire_connection(&mut self, holder: HolderId) -> Option<Lease> {
+    fn acquire_connection(&mut self, holder: HolderId) -> Option<Reservation> {
         if self.make_room(holder) {
-            self.budgets.connections.take(&[Some(holder)]).ok()
+            self.budgets.connections.reserve(&[Some(holder)]).ok()
         } else {
             None
         }
