--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -4,11 +4,11 @@
 use crate::admission::{ActiveRoute, AdmissionError, Admitted, Labels, RETRY_AFTER};
 use crate::callers::ListenerId;
 use crate::http::{HttpError, Request, Response};
-use crate::lease::Lease;
 use crate::pools::{Pool, PoolId};
 use crate::reasons::RefusalReason;
+use crate::reservation::Reservation;
 use crate::stats::Outcome;
-use crate::upstreams::{Attempt, Ended, Target};
+use crate::upstreams::{Attempt, AttemptResult, Target};
 use crate::{ConnId, Proxy};
 use garnettally_config::file::format::LogRequests;
 use garnettally_decisions::facade::{Code, Decision, ListFreshness, Micros, PickRequest, Report, RequestId};
@@ -57,7 +57,7 @@
     /// The number of the pin's last recorded attempt.
     pin_number: u64,
     /// The request's unit of the request budgets, or the copy's unit of the budget for copies.
-    lease: Lease,
+    reservation: Reservation,
     /// The listener that accepted the request; `None` for a copy.
     listener: Option<ListenerId>,
     /// The route of the operator's file; `None` for a copy and with the platform's protocol.
@@ -123,8 +123,8 @@
     /// Whether this process can serve requests: a pool is ready, and the process is not draining.
     pub fn is_ready(&self) -> bool {
         let now = self.net.clock.unix_time(Instant::now());
-        let is_pool_ready = |p: &Pool| p.ready && !p.leaving && p.is_started(now);
-        self.pools.iter().any(is_pool_ready) && !self.shutdown.closing() && !self.admin.draining()
+        let is_pool_ready = |p: &Pool| p.was_ready && !p.is_retired && p.is_started(now);
+        self.pools.iter().any(is_pool_ready) && !self.shutdown.is_closing() && !self.admin.draining()
     }
 
     /// Accepts a request, or returns why it can't be accepted.
@@ -136,7 +136,9 @@
     ) -> Result<RequestId, AdmissionError> {
         let now = Instant::now();
         match self.admit_within_limits(listener, &mut request, now) {
-            Ok((admitted, lease)) => Ok(self.start_request(admitted, lease, caller, listener, request, now)),
+            Ok((admitted, reservation)) => {
+                Ok(self.start_request(admitted, reservation, caller, listener, request, now))
+            }
             Err(error) => {
                 if let AdmissionError::Refused { route: Some(r), .. } = &error {
                     let class = self.active_config.as_ref().map(|v| v.class(r.route.class).to_string());
@@ -156,15 +158,15 @@
         listener: ListenerId,
         request: &mut Request,
         now: Instant,
-    ) -> Result<(Admitted, Lease), AdmissionError> {
+    ) -> Result<(Admitted, Reservation), AdmissionError> {
         let admitted = self.admit(request, now)?;
         if self.exchanges.pending_ids.contains(&admitted.id) {
             return Err(AdmissionError::Rejected(HttpError(400)));
         }
         let holders =
             self.holders(admitted.pool, admitted.route.as_deref(), self.callers.request_holder(listener));
-        match self.budgets.requests.take(&holders) {
-            Ok(lease) => Ok((admitted, lease)),
+        match self.budgets.requests.reserve(&holders) {
+            Ok(reservation) => Ok((admitted, reservation)),
             Err(_) => Err(AdmissionError::Refused { retry_after: Some(RETRY_AFTER), route: admitted.route }),
         }
     }
@@ -173,7 +175,7 @@
     fn start_request(
         &mut self,
         admitted: Admitted,
-        lease: Lease,
+        reservation: Reservation,
         caller: ConnId,
         listener: ListenerId,
         request: Request,
@@ -184,7 +186,7 @@
         if let Some(shadow) = admitted.mirror {
             self.start_mirror_copy(shadow, &admitted, &request, now);
         }
-        self.start_exchange(admitted, Some(caller), Some(listener), request, lease, now)
+        self.start_exchange(admitted, Some(caller), Some(listener), request, reservation, now)
     }
 
     /// Creates the exchange of a request or of a mirrored copy, and submits it to its pool.
@@ -194,7 +196,7 @@
         caller: Option<ConnId>,
         listener: Option<ListenerId>,
         request: Rc<Request>,
-        lease: Lease,
+        reservation: Reservation,
         now: Instant,
     ) -> RequestId {
         let micros = |d: Duration| Micros(d.as_micros() as i64);
@@ -206,7 +208,7 @@
             tenant: admitted.tenant,
             expires: self
                 .shutdown
-                .answer_by()
+                .respond_by()
                 .map_or(expires, |by| expires.min(self.net.clock.unix_time(by))),
             cost: admitted.cost.map(micros).filter(|c| c.0 > 0),
             repeat: admitted.repeat,
@@ -227,7 +229,7 @@
             fallback_pools: admitted.fallback_pools,
             pin: admitted.pin,
             pin_number: 0,
-            lease,
+            reservation,
             listener,
             route: admitted.route,
             labels: admitted.labels,
@@ -243,8 +245,8 @@
     fn submit_to_pool(&mut self, number: RequestId, mut exchange: Exchange, now: Instant) {
         exchange.pick_request.request = number;
         if let Some(pool) = self.pools.get_mut(exchange.pool) {
-            pool.open += 1;
-            pool.add(ModuleInput::Pick(exchange.pick_request), now);
+            pool.unfinished_requests += 1;
+            pool.queue_input(ModuleInput::Pick(exchange.pick_request), now);
         }
         self.exchanges.open.insert(number, exchange);
     }
@@ -259,7 +261,7 @@
         now: Instant,
     ) {
         let Some(pool) = self.pools.get(shadow) else { return };
-        let Ok(lease) = self.budgets.copies.take(&[Some(pool.copies)]) else { return };
+        let Ok(reservation) = self.budgets.copies.reserve(&[Some(pool.copies)]) else { return };
         let copy = Admitted {
             id: original.id.clone(),
             class: original.class,
@@ -277,7 +279,7 @@
             class_name: original.class_name.clone(),
             repeat_within: original.repeat_within,
         };
-        self.start_exchange(copy, None, None, request.clone(), lease, now);
+        self.start_exchange(copy, None, None, request.clone(), reservation, now);
     }
 
     /// Abandons a request whose client has closed its connection.
@@ -296,7 +298,7 @@
         let attempts =
             self.exchanges.open.get(&request).filter(|x| x.in_flight > 0).map_or(0, |x| x.attempts);
         for attempt in 0..attempts {
-            if let Some(ended) = self.upstreams.drop_unwritten(&self.net, (request, attempt)) {
+            if let Some(ended) = self.upstreams.cancel_unwritten(&self.net, (request, attempt)) {
                 self.attempt_ended(ended);
             }
         }
@@ -325,8 +327,8 @@
     /// Withdraws the attempts that have not begun at an upstream that accepts no new ones; the module sends
     /// them elsewhere.
     pub fn withdraw_unbegun_attempts(&mut self, target: Target) {
-        for attempt in self.upstreams.unbegun(target) {
-            if let Some(ended) = self.upstreams.drop_unwritten(&self.net, attempt) {
+        for attempt in self.upstreams.unwritten_attempts(target) {
+            if let Some(ended) = self.upstreams.cancel_unwritten(&self.net, attempt) {
                 self.attempt_ended(ended);
             }
         }
@@ -336,13 +338,13 @@
     fn queue_report(&mut self, request: RequestId, report: Report) {
         let pool = self.exchanges.open.get(&request).map(|x| x.pool);
         if let Some(pool) = pool.and_then(|id| self.pools.get_mut(id)) {
-            pool.queue(report, Instant::now());
+            pool.queue_report(report, Instant::now());
         }
     }
 
     /// Handles the end of an attempt. The first response that serves the request, or rejects it as faulty, is
     /// forwarded to the caller at once; the decision module handles everything else.
-    pub fn attempt_ended(&mut self, ended: Ended) {
+    pub fn attempt_ended(&mut self, ended: AttemptResult) {
         let (request, attempt) = ended.attempt;
         let Some(exchange) = self.exchanges.open.get_mut(&request) else { return };
         exchange.in_flight -= 1;
@@ -359,7 +361,7 @@
             self.pins.attempt_never_ran(key, exchange.pin_number);
         }
         if let Some(target) = ended.target {
-            self.note_health(target, ended.code, Instant::now());
+            self.record_attempt_result(target, ended.code, Instant::now());
         }
         let is_copy = self.exchanges.open.get(&request).is_some_and(|x| x.caller.is_none());
         let awaiting_caller = match ended.code {
@@ -371,9 +373,9 @@
             || (is_copy && matches!(ended.code, Code::Ok | Code::Rejected));
         debug!(self.net.log, "ended"; "request" => request.0, "attempt" => attempt, "code" => ?ended.code,
             "upstream" => ended.target.map_or("", |t| self.upstream_name(t)),
-            "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.held_up.as_secs_f64() * 1e3);
+            "ms" => ended.latency.as_secs_f64() * 1e3, "held_up_ms" => ended.local_delay.as_secs_f64() * 1e3);
         let upstream_in_flight = ended.answer.as_ref().and_then(|a| a.in_flight);
-        let (code, latency, held_up) = (ended.code, ended.latency, ended.held_up);
+        let (code, latency, held_up) = (ended.code, ended.latency, ended.local_delay);
         let report = Report::Ended {
             request,
             attempt,
@@ -407,8 +409,9 @@
     fn module_run_due(&self, pool: PoolId) -> Option<Instant> {
         let pool = self.pools.get(pool)?;
         let due = pool.decisions.next_tick().map(|at| self.net.clock.instant(self.round_up(at)));
-        let queued =
-            pool.first_news().map(|at| self.net.clock.instant(self.round_up(self.net.clock.unix_time(at))));
+        let queued = pool
+            .first_queued_at()
+            .map(|at| self.net.clock.instant(self.round_up(self.net.clock.unix_time(at))));
         due.into_iter().chain(queued).min()
     }
 
@@ -435,7 +438,7 @@
     fn run_module(&mut self, id: PoolId, at: Instant) {
         let now = self.net.clock.unix_time(at);
         let Some(pool) = self.pools.get_mut(id) else { return };
-        for input in pool.take_news() {
+        for input in pool.take_queued() {
             let ended = match &input {
                 ModuleInput::Report(Report::Ended { request, .. } | Report::ClientLeft(request)) => {
                     Some(*request)
@@ -446,7 +449,7 @@
                 ModuleInput::Pick(pick_request) => {
                     self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.pick(now, pick_request))
                 }
-                ModuleInput::Report(report) => self.tell(id, now, report),
+                ModuleInput::Report(report) => self.apply_report(id, now, report),
             };
             self.apply_decisions(id, decisions);
             if let Some(request) = ended {
@@ -457,14 +460,14 @@
         // requests.
         let tick = self.pools.get_mut(id).map_or(Vec::new(), |p| p.decisions.tick(now));
         self.apply_decisions(id, tick);
-        self.note_list_standing(id, now);
+        self.log_list_freshness(id, now);
     }
 
     /// Removes a request that is concluded and has no attempt in flight.
     fn remove_if_finished(&mut self, request: RequestId) {
         if self.exchanges.open.get(&request).is_some_and(|x| x.concluded && x.in_flight == 0) {
             if let Some(exchange) = self.exchanges.open.remove(&request) {
-                self.pool_let_go(exchange.pool);
+                self.pool_request_finished(exchange.pool);
             }
         }
     }
@@ -498,7 +501,14 @@
         let attempt = (request, exchange.attempts);
         (exchange.attempts, exchange.in_flight) = (exchange.attempts + 1, exchange.in_flight + 1);
         let zero = Duration::ZERO;
-        let unsent = |code| Ended { attempt, target: None, code, latency: zero, held_up: zero, answer: None };
+        let unsent = |code| AttemptResult {
+            attempt,
+            target: None,
+            code,
+            latency: zero,
+            local_delay: zero,
+            answer: None,
+        };
         if exchange.concluded {
             return self.attempt_ended_unpinned(unsent(Code::Moot));
         }
@@ -526,7 +536,7 @@
     }
 
     /// Handles the end of an attempt that was not sent and is not recorded in the pins.
-    fn attempt_ended_unpinned(&mut self, ended: Ended) {
+    fn attempt_ended_unpinned(&mut self, ended: AttemptResult) {
         let request = ended.attempt.0;
         let pin = self.exchanges.open.get_mut(&request).and_then(|x| x.pin.take());
         self.attempt_ended(ended);
@@ -547,7 +557,7 @@
         while let Some(next) =
             (!exchange.fallback_pools.is_empty() && may_move).then(|| exchange.fallback_pools.remove(0))
         {
-            let serves = self.pools.get(next).is_some_and(|p| p.serves());
+            let serves = self.pools.get(next).is_some_and(|p| p.can_serve());
             let pinned_elsewhere = exchange
                 .pin
                 .and_then(|(key, _)| self.pins.get(at, key))
@@ -558,10 +568,10 @@
             let listener_holder = exchange.listener.and_then(|l| self.callers.request_holder(l));
             let pool_holder = self.pools.get(next).map(|p| p.requests);
             let holders = [pool_holder, exchange.route.as_ref().map(|r| r.holder), listener_holder];
-            let Ok(lease) = self.budgets.requests.take(&holders) else { continue };
+            let Ok(reservation) = self.budgets.requests.reserve(&holders) else { continue };
             let Some(mut exchange) = self.exchanges.open.remove(&request) else { return };
-            self.pool_let_go(exchange.pool);
-            exchange.lease = lease;
+            self.pool_request_finished(exchange.pool);
+            exchange.reservation = reservation;
             let (number, caller) = (self.exchanges.next_request_id(), exchange.caller);
             exchange.pool = next;
             (exchange.earlier_attempts, exchange.attempts) =
--- a/crates/serve/src/stats.rs
+++ b/crates/serve/src/stats.rs
@@ -95,9 +95,9 @@
     }
 
     /// The sums over all classes, for the export.
-    pub fn totals(&self) -> crate::export::Figures {
+    pub fn totals(&self) -> crate::export::MemberCounters {
         let sum = |field: fn(&OutcomeCounts) -> u64| self.classes.values().map(field).sum();
-        crate::export::Figures {
+        crate::export::MemberCounters {
             completed: sum(|o| o.completed),
             rejected: sum(|o| o.rejected),
             failed: sum(|o| o.failed),
