--- a/crates/duties/src/lease.rs
+++ b/crates/duties/src/lease.rs
@@ -1,221 +1,244 @@
-//! Leases: what a voter has promised about whom, and what an owner may still do by it.
+//! Leases: the promises that a voter has made to members, and the duties on which an owner may act because of
+//! them.
 //!
-//! A voter promises a life, for a time by the voter's clock, that it grants what this life owns to nobody else. When it
-//! learns that a duty has a new owner, it remembers until when the one before may act, and holds its grant back until
-//! then; or until the one before says that it knows. An owner acts on a duty while a majority of voters that know of
-//! its assignment have granted it, counted from when it asked, by its own clock, and shortened by the margin for clocks
-//! that run apart. Two majorities have a voter in common, so that no two owners of a duty act at a time.
+//! A voter promises a life, for one lease by the voter's clock, to grant the duties of this life to no other
+//! life. When the voter learns that a duty has a new owner, it remembers until when the former owner may act,
+//! and holds its grant to the new owner back until then, or until the former owner reports that it knows of
+//! the change. An owner acts on a duty while a majority of the voters, each knowing of the assignment, have
+//! granted it. The owner measures each grant by its own clock from the time of its request, and shortens the
+//! grant by a margin for clock drift. Any two majorities have a voter in common, so that two owners of a duty
+//! never act at the same time.
 
 use crate::ledger::{Change, Epoch, Life};
 use crate::log::majority;
 use garnettally_model::Micros;
 use std::collections::BTreeMap;
 
-/// By how much a clock may run fast or slow against true time, in parts of a thousand: a hundred times what a bad
-/// oscillator does, and what a virtual machine that is slewed hard may show.
+/// The maximum drift of a clock against true time, fast or slow, in parts per thousand. This is a hundred
+/// times the drift of a bad oscillator, and as much as a virtual machine whose clock is slewed hard may show.
 pub const DRIFT_PER_MILLE: i64 = 100;
 
-/// How long an owner may act by a lease that voters hold for so long: of two clocks, the owner's may be slow and a
-/// voter's fast.
-pub fn shortened(lease: Micros) -> Micros {
+/// Returns how long an owner may act, by its own clock, on a lease that lasts `lease` by the voters' clocks.
+/// The owner's clock may be slow while a voter's is fast, each by [`DRIFT_PER_MILLE`].
+pub fn owner_lease(lease: Micros) -> Micros {
     Micros(lease.0 * (1000 - DRIFT_PER_MILLE) / (1000 + DRIFT_PER_MILLE))
 }
 
-/// Somebody who owned a duty and may still act on it.
+/// A former owner of a duty that may still act on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Former {
+struct FormerOwner {
     life: Life,
+    /// The end of the promise to this life, by the voter's clock.
     until: Micros,
-    /// By which entry it lost the duty.
-    lost: u64,
+    /// The number of the log entry by which the life lost the duty.
+    lost_at_entry: u64,
 }
 
-/// What one voter has promised. It is not stored: a voter that starts anew keeps silent for as long as a promise holds.
+/// The promises of one voter. They are not stored: a restarted voter makes no promises for the length of one
+/// lease, until all promises of its previous life have expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Promises {
     lease: Micros,
-    silent_until: Micros,
-    /// Until when what was promised to each life holds.
-    sessions: BTreeMap<Life, Micros>,
-    formers: BTreeMap<String, Vec<Former>>,
+    /// No promises are made before this time.
+    no_promise_until: Micros,
+    /// The end of the promise to each life, by the voter's clock.
+    promised_until: BTreeMap<Life, Micros>,
+    /// For each duty, the former owners that may still act on it.
+    former_owners: BTreeMap<String, Vec<FormerOwner>>,
 }
 
 impl Promises {
-    /// Of a voter that has just started, or can't know what it has promised.
+    /// Creates the state of a voter that has just started, and so does not know its earlier promises.
     pub fn new(now: Micros, lease: Micros) -> Promises {
-        Promises { lease, silent_until: now + lease, sessions: BTreeMap::new(), formers: BTreeMap::new() }
+        Promises {
+            lease,
+            no_promise_until: now + lease,
+            promised_until: BTreeMap::new(),
+            former_owners: BTreeMap::new(),
+        }
     }
 
-    /// Whether it may promise anything yet.
-    pub fn speaks(&self, now: Micros) -> bool {
-        now >= self.silent_until
+    /// Whether this voter may make promises: all promises from before its start have expired.
+    pub fn may_promise(&self, now: Micros) -> bool {
+        now >= self.no_promise_until
     }
 
-    /// A life asks, and says up to which entry it knows what it owns. Until when it has this voter's promise, by the
-    /// voter's clock; `None`: not yet.
-    pub fn renew(&mut self, now: Micros, life: Life, seen: u64) -> Option<Micros> {
-        self.learn(life, seen);
-        if !self.speaks(now) {
+    /// Renews the promise to a life that knows its duties up to the given log entry. Returns the end of the
+    /// promise by the voter's clock, or `None` if the voter may not promise anything yet.
+    pub fn renew(&mut self, now: Micros, life: Life, known_upto: u64) -> Option<Micros> {
+        self.forget_former_owner(life, known_upto);
+        if !self.may_promise(now) {
             return None;
         }
         let until = now + self.lease;
-        self.sessions.insert(life, until);
+        self.promised_until.insert(life, until);
         Some(until)
     }
 
-    /// A life knows what was decided up to here, and acts on nothing that it has lost by then.
-    fn learn(&mut self, life: Life, seen: u64) {
-        self.formers.retain(|_, all| {
-            all.retain(|f| f.life != life || f.lost > seen);
+    /// Records that a life knows the log up to the given entry, and so no longer acts on duties that it had
+    /// lost by then.
+    fn forget_former_owner(&mut self, life: Life, known_upto: u64) {
+        self.former_owners.retain(|_, all| {
+            all.retain(|f| f.life != life || f.lost_at_entry > known_upto);
             !all.is_empty()
         });
     }
 
-    /// An entry was decided.
-    pub fn changed(&mut self, now: Micros, change: &Change) {
-        let until = self.sessions.get(&change.from).copied();
+    /// Records a change of owner that was decided. A former owner with a valid promise may still act until it
+    /// ends.
+    pub fn record_change(&mut self, now: Micros, change: &Change) {
+        let until = self.promised_until.get(&change.from).copied();
         if let Some(until) =
             until.filter(|&until| until > now && change.from != 0 && change.from != change.to)
         {
-            let former = Former { life: change.from, until, lost: change.at };
-            self.formers.entry(change.duty.clone()).or_default().push(former);
+            let former = FormerOwner { life: change.from, until, lost_at_entry: change.epoch };
+            self.former_owners.entry(change.duty.clone()).or_default().push(former);
         }
     }
 
-    /// Whether somebody else may still act on a duty.
+    /// Whether a former owner other than `owner` may still act on the duty, so that the grant has to be held
+    /// back.
     pub fn is_held_back(&self, now: Micros, duty: &str, owner: Life) -> bool {
-        let all = self.formers.get(duty).map_or(&[][..], Vec::as_slice);
+        let all = self.former_owners.get(duty).map_or(&[][..], Vec::as_slice);
         all.iter().any(|f| f.life != owner && f.until > now)
     }
 
-    /// Whether a life has this voter's promise now.
-    pub fn has(&self, now: Micros, life: Life) -> bool {
-        self.sessions.get(&life).is_some_and(|&until| until > now)
+    /// Whether a promise to this life is valid now.
+    pub fn has_promise(&self, now: Micros, life: Life) -> bool {
+        self.promised_until.get(&life).is_some_and(|&until| until > now)
     }
 
-    /// Who has.
-    pub fn lives(&self, now: Micros) -> impl Iterator<Item = Life> + '_ {
-        self.sessions.iter().filter(move |(_, &until)| until > now).map(|(&life, _)| life)
+    /// Returns the lives to which a promise is valid now.
+    pub fn promised_lives(&self, now: Micros) -> impl Iterator<Item = Life> + '_ {
+        self.promised_until.iter().filter(move |(_, &until)| until > now).map(|(&life, _)| life)
     }
 
-    /// A life ends in good order: it acts on nothing any more.
-    pub fn ended(&mut self, life: Life) {
-        self.sessions.remove(&life);
-        self.formers.retain(|_, all| {
+    /// Removes a life that has left in an orderly way and no longer acts on any duty.
+    pub fn remove_life(&mut self, life: Life) {
+        self.promised_until.remove(&life);
+        self.former_owners.retain(|_, all| {
             all.retain(|f| f.life != life);
             !all.is_empty()
         });
     }
 
-    /// Gives up what is over.
-    pub fn expire(&mut self, now: Micros) {
-        self.sessions.retain(|_, until| *until > now);
-        self.formers.retain(|_, all| {
+    /// Removes promises and former owners whose time is over.
+    pub fn remove_expired(&mut self, now: Micros) {
+        self.promised_until.retain(|_, until| *until > now);
+        self.former_owners.retain(|_, all| {
             all.retain(|f| f.until > now);
             !all.is_empty()
         });
     }
 }
 
-/// One voter's grant, as its owner counts it.
+/// One voter's grant, as recorded by the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
-    /// When it was asked for, by the owner's clock.
-    asked: Micros,
-    /// Up to which entry the voter knew.
-    upto: u64,
-    /// It holds back what was assigned after this.
-    clear: Epoch,
+    /// When the owner sent the request, by the owner's clock.
+    requested_at: Micros,
+    /// The number of the last decided log entry that the voter knew.
+    decided_upto: u64,
+    /// The grant covers assignments up to this epoch; later ones are held back.
+    effective_upto: Epoch,
 }
 
-/// What one life may do by the grants of voters.
+/// The duties that one life owns, and the grants of the voters that let it act on them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct OwnerGrants {
+    /// How long a grant lasts from its request, by the owner's clock.
     lease: Micros,
+    /// The number of voters, of which a majority has to grant.
     voters: usize,
+    /// The latest grant of each voter, by voter number.
     grants: BTreeMap<u64, Grant>,
-    /// What it owns, as of this entry.
+    /// The duties that the life owns according to the log up to the entry `known_upto`, with their epochs.
     duties: BTreeMap<String, Epoch>,
-    seen: u64,
+    known_upto: u64,
 }
 
-impl Held {
-    /// Of a life that has just begun.
-    pub fn new(lease: Micros, voters: usize) -> Held {
-        Held::with_time(shortened(lease), voters)
+impl OwnerGrants {
+    /// Creates the state of a life that has just started; `lease` is measured by the voters' clocks.
+    pub fn new(lease: Micros, voters: usize) -> OwnerGrants {
+        OwnerGrants::with_owner_lease(owner_lease(lease), voters)
     }
 
-    /// The same that acts for so long by its own clock, whatever the margin would say.
-    pub fn with_time(lease: Micros, voters: usize) -> Held {
-        Held { lease, voters, grants: BTreeMap::new(), duties: BTreeMap::new(), seen: 0 }
+    /// Like [`OwnerGrants::new`], but `lease` is measured by the owner's clock and no margin for drift is
+    /// subtracted.
+    pub fn with_owner_lease(lease: Micros, voters: usize) -> OwnerGrants {
+        OwnerGrants { lease, voters, grants: BTreeMap::new(), duties: BTreeMap::new(), known_upto: 0 }
     }
 
-    /// Up to which entry it knows what it owns.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// Returns the number of the last log entry up to which the life knows its duties.
+    pub fn known_upto(&self) -> u64 {
+        self.known_upto
     }
 
-    /// A voter has answered what it was asked at this time. `upto`: what the voter knew; `owned`, if anything has changed
-    /// since what was seen; `clear`: what was assigned after this is held back; `None`: it may promise nothing yet.
-    pub fn granted(
+    /// Records a voter's answer to a request sent at `requested_at`. `decided_upto` is the last log entry
+    /// that the voter knew. `effective_upto` is the last epoch that the grant covers; `None` means that the
+    /// voter may not promise anything yet. `owned` has all duties of this life if they have changed since the
+    /// entry given in the request.
+    pub fn record_grant(
         &mut self,
         voter: u64,
-        asked: Micros,
-        upto: u64,
-        clear: Option<Epoch>,
+        requested_at: Micros,
+        decided_upto: u64,
+        effective_upto: Option<Epoch>,
         owned: Option<Vec<(String, Epoch)>>,
     ) {
-        if upto >= self.seen {
+        if decided_upto >= self.known_upto {
             if let Some(owned) = owned {
                 self.duties = owned.into_iter().collect();
             }
-            self.seen = upto;
+            self.known_upto = decided_upto;
         }
-        let Some(clear) = clear else { return };
-        let grant = Grant { asked, upto, clear };
-        let held = self.grants.entry(voter).or_insert(grant);
-        if held.asked <= asked {
-            *held = grant;
+        let Some(effective_upto) = effective_upto else { return };
+        let grant = Grant { requested_at, decided_upto, effective_upto };
+        let latest = self.grants.entry(voter).or_insert(grant);
+        if latest.requested_at <= requested_at {
+            *latest = grant;
         }
     }
 
-    /// The epoch under which it may act on a duty now; to be read right before each effect.
+    /// Returns the epoch under which this life may act on a duty now, or `None` if it may not act. The caller
+    /// has to read it right before each effect.
     pub fn may_act(&self, now: Micros, duty: &str) -> Option<Epoch> {
         let epoch = *self.duties.get(duty)?;
-        (self.until(epoch)? > now).then_some(epoch)
+        (self.granted_until(epoch)? > now).then_some(epoch)
     }
 
-    /// Until when a majority has granted what was assigned by this.
-    fn until(&self, epoch: Epoch) -> Option<Micros> {
-        let counts = self.grants.values().filter(|g| g.upto >= epoch && g.clear >= epoch);
-        let mut ends: Vec<Micros> = counts.map(|g| g.asked + self.lease).collect();
+    /// Returns the time until which a majority of the voters grants the assignment with this epoch.
+    fn granted_until(&self, epoch: Epoch) -> Option<Micros> {
+        let counts = self.grants.values().filter(|g| g.decided_upto >= epoch && g.effective_upto >= epoch);
+        let mut ends: Vec<Micros> = counts.map(|g| g.requested_at + self.lease).collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
         ends.get(majority(self.voters) - 1).copied()
     }
 
-    /// What it owns, and until when it may act on it.
+    /// Returns the duties that this life owns, with the epoch and the time until which it may act on each.
     pub fn duties(&self) -> impl Iterator<Item = (&str, Epoch, Option<Micros>)> {
-        self.duties.iter().map(|(name, &epoch)| (name.as_str(), epoch, self.until(epoch)))
+        self.duties.iter().map(|(name, &epoch)| (name.as_str(), epoch, self.granted_until(epoch)))
     }
 
-    /// It ends: from now on it may do nothing.
-    pub fn end(&mut self) {
+    /// Drops all duties and grants when the member leaves: it may no longer act on any duty.
+    pub fn release_all(&mut self) {
         self.grants.clear();
         self.duties.clear();
-        self.seen = 0;
+        self.known_upto = 0;
     }
 }
 
-/// What a receiver of effects remembers: the highest epoch of each duty.
+/// The highest epoch seen for each duty, by which a receiver of effects refuses those of former owners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: BTreeMap<String, Epoch>,
 }
 
 impl Fence {
-    /// Whether an effect under this epoch is taken: not below one that was, and not of more duties than there can be.
+    /// Whether an effect with this epoch is accepted. It is refused if a higher epoch was seen for the duty,
+    /// or if the duty is unknown and the maximum number of duties is already recorded.
     pub fn admits(&mut self, duty: &str, epoch: Epoch) -> bool {
-        if !self.highest.contains_key(duty) && self.highest.len() >= crate::ledger::DUTIES_MOST {
+        if !self.highest.contains_key(duty) && self.highest.len() >= crate::ledger::MAX_DUTIES {
             return false;
         }
         let highest = self.highest.entry(duty.to_string()).or_insert(epoch);
@@ -224,7 +247,7 @@
         admitted
     }
 
-    /// The highest epoch of a duty that was met.
+    /// Returns the highest epoch that was seen for a duty.
     pub fn highest(&self, duty: &str) -> Option<Epoch> {
         self.highest.get(duty).copied()
     }
--- a/crates/duties/src/log.rs
+++ b/crates/duties/src/log.rs
@@ -1,12 +1,15 @@
-//! The log that the voters agree on, by `omnipaxos`; one voter alone needs nobody's word.
+//! The log on which the voters agree, replicated by `omnipaxos`. A single voter decides alone, without the
+//! library.
 //!
-//! The library writes to a mirror in memory that cannot fail, and every change is noted as a record. Whoever drives this
-//! stores the records first, and only then lets out what was to be sent: nothing is promised before it is stored. Where
-//! storing fails, the whole log is dropped with what it had to say, and read anew from what is stored.
+//! The library writes to a state in memory, which can't fail, and every change is kept as part of a record.
+//! The caller stores the records first and only then sends the messages: nothing is promised before it is
+//! stored. If storing fails, the whole log is dropped together with its unsent messages, and is rebuilt from
+//! the stored records.
 //!
-//! The log is made short by trimming what all voters have, and keeping the ledger that it came to. The library's
-//! snapshots are not used: 0.2.4 raises its decided index before it makes a snapshot of its own part to merge a
-//! difference into (`InternalStorage::sync_log`), so that entries are lost or doubled; drawn schedule 1002 showed it.
+//! The log is compacted by trimming the entries that all voters have, and keeping the ledger that results
+//! from them. The library's snapshots are not used: version 0.2.4 raises its decided index before it makes a
+//! snapshot of its own part to merge a difference into (`InternalStorage::sync_log`), so that entries are
+//! lost or applied twice; this was seen with random fault schedule 1002.
 
 use crate::ledger::{Change, Entry, Ledger};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -18,18 +21,19 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Entries that are proposed and not yet decided, at the most.
-const OPEN_MOST: usize = 256;
-/// After so many entries the log is made short,
-const LONG: u64 = 64;
-/// and past this, which takes a voter that is gone for good, nothing more is put forward.
-pub const LOG_MOST: usize = 4_096;
-/// Ticks between two rounds of heartbeats, by which voters tell whether the first among them is there.
+/// The maximum number of entries that are proposed and not yet decided.
+const MAX_OPEN_PROPOSALS: usize = 256;
+/// The number of decided entries after which the log is compacted.
+const COMPACTION_ENTRIES: u64 = 64;
+/// The maximum number of entries in the log. At this length no more entries are proposed; the log only grows
+/// to it when a voter is permanently missing, since entries are trimmed once all voters have them.
+pub const MAX_LOG_ENTRIES: usize = 4_096;
+/// The number of ticks between two rounds of heartbeats, by which voters detect that the leader has failed.
 const ELECTION_TICKS: u64 = 5;
-/// Ticks after which a message without an answer goes again.
+/// The number of ticks after which an unanswered message is sent again.
 const RESEND_TICKS: u64 = 10;
 
-/// One change of what is stored.
+/// One change of the stored state. The order of the variants is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Op {
     Append(Vec<Entry>),
@@ -41,24 +45,25 @@
     Trim(u64),
 }
 
-/// What is stored, as the library wants to see it.
+/// The stored state, in the form in which the library reads it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Mirror {
+struct LogState {
     log: Vec<Entry>,
-    /// Entries that are no longer in `log`.
+    /// The number of entries that were trimmed and are no longer in `log`.
     trimmed: u64,
     promise: Option<Ballot>,
     decided: u64,
     accepted: Option<Ballot>,
     compacted: u64,
-    /// What the entries that are no longer in `log` have come to.
+    /// The ledger that results from the trimmed entries.
     base: Ledger,
+    /// Changes since the last record was taken.
     #[serde(skip)]
     ops: Vec<Op>,
 }
 
-impl Mirror {
-    fn take(&mut self, op: &Op) {
+impl LogState {
+    fn apply(&mut self, op: &Op) {
         match op {
             Op::Append(entries) => self.log.extend_from_slice(entries),
             Op::AppendFrom(from, entries) => {
@@ -70,39 +75,39 @@
             Op::Accepted(b) => self.accepted = Some(*b),
             Op::Compacted(n) => self.compacted = *n,
             Op::Trim(n) => {
-                let gone = (n.saturating_sub(self.trimmed) as usize).min(self.log.len());
-                for entry in self.log.drain(..gone) {
+                let removed = (n.saturating_sub(self.trimmed) as usize).min(self.log.len());
+                for entry in self.log.drain(..removed) {
                     self.base.apply(&entry);
                 }
-                self.trimmed += gone as u64;
+                self.trimmed += removed as u64;
             }
         }
     }
 
-    fn note(&mut self, op: Op) {
-        self.take(&op);
+    fn record(&mut self, op: Op) {
+        self.apply(&op);
         self.ops.push(op);
     }
 
-    fn range(&self, from: usize, to: usize) -> Vec<Entry> {
+    fn entries(&self, from: usize, to: usize) -> Vec<Entry> {
         let at = |n: usize| (n as u64).checked_sub(self.trimmed).map(|n| n as usize);
         let part = at(from).zip(at(to)).and_then(|(from, to)| self.log.get(from..to));
         part.map_or_else(Vec::new, <[Entry]>::to_vec)
     }
 }
 
-/// The mirror, shared with whoever stores it.
+/// The state, shared between the library and the [`Log`] that takes the records from it.
 #[derive(Clone, Default)]
-struct Shared(Rc<RefCell<Mirror>>);
+struct SharedState(Rc<RefCell<LogState>>);
 
-impl Shared {
-    fn note(&self, op: Op) -> StorageResult<()> {
-        self.0.borrow_mut().note(op);
+impl SharedState {
+    fn record(&self, op: Op) -> StorageResult<()> {
+        self.0.borrow_mut().record(op);
         Ok(())
     }
 }
 
-impl Storage<Entry> for Shared {
+impl Storage<Entry> for SharedState {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         for op in ops {
             match op {
@@ -121,31 +126,31 @@
         Ok(())
     }
     fn append_entry(&mut self, entry: Entry) -> StorageResult<()> {
-        self.note(Op::Append(vec![entry]))
+        self.record(Op::Append(vec![entry]))
     }
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        self.note(Op::Append(entries))
+        self.record(Op::Append(entries))
     }
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        self.note(Op::AppendFrom(from as u64, entries))
+        self.record(Op::AppendFrom(from as u64, entries))
     }
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
-        self.note(Op::Promise(ballot))
+        self.record(Op::Promise(ballot))
     }
     fn set_decided_idx(&mut self, n: usize) -> StorageResult<()> {
-        self.note(Op::Decided(n as u64))
+        self.record(Op::Decided(n as u64))
     }
     fn get_decided_idx(&self) -> StorageResult<usize> {
         Ok(self.0.borrow().decided as usize)
     }
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
-        self.note(Op::Accepted(ballot))
+        self.record(Op::Accepted(ballot))
     }
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
         Ok(self.0.borrow().accepted)
     }
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        Ok(self.0.borrow().range(from, to))
+        Ok(self.0.borrow().entries(from, to))
     }
     fn get_log_len(&self) -> StorageResult<usize> {
         Ok(self.0.borrow().log.len())
@@ -153,7 +158,7 @@
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
         let m = self.0.borrow();
         let end = m.trimmed as usize + m.log.len();
-        Ok(m.range(from, end.max(from)))
+        Ok(m.entries(from, end.max(from)))
     }
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
         Ok(self.0.borrow().promise)
@@ -165,10 +170,10 @@
         Ok(None)
     }
     fn trim(&mut self, n: usize) -> StorageResult<()> {
-        self.note(Op::Trim(n as u64))
+        self.record(Op::Trim(n as u64))
     }
     fn set_compacted_idx(&mut self, n: usize) -> StorageResult<()> {
-        self.note(Op::Compacted(n as u64))
+        self.record(Op::Compacted(n as u64))
     }
     fn get_compacted_idx(&self) -> StorageResult<usize> {
         Ok(self.0.borrow().compacted as usize)
@@ -181,83 +186,89 @@
     }
 }
 
-/// Why a log can't be opened, or a message not be taken.
+/// The reason why a log can't be opened or a message can't be processed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LogError {
-    /// The voters of the configuration make no sense.
-    #[error("voters: {0}")]
+    /// The configured list of voters is not valid.
+    #[error("invalid list of voters: {0}")]
     Voters(String),
-    /// A stored record can't be read.
-    #[error("record {0} of the voter's state can't be read")]
+    /// The stored record with this index, counted from 0, can't be decoded.
+    #[error("record {0} (counted from 0) of the voter's stored state can't be decoded")]
     Record(usize),
-    /// A message can't be read, or is not for this voter.
-    #[error("a voter's message that makes no sense")]
+    /// A message can't be decoded, or its sender or receiver is wrong.
+    #[error("a voter's message can't be decoded or has a wrong sender or receiver")]
     Message,
 }
 
-/// What one voter holds of the log.
+/// One voter's copy of the log.
 pub struct Log {
-    me: u64,
+    own_voter: u64,
     voters: Vec<u64>,
-    mirror: Shared,
-    /// `None`: this voter is the only one.
-    paxos: Option<OmniPaxos<Entry, Shared>>,
+    state: SharedState,
+    /// The library's state; `None` if this voter is the only one.
+    paxos: Option<OmniPaxos<Entry, SharedState>>,
+    /// The result of all decided entries.
     ledger: Ledger,
-    open: usize,
+    /// Entries that this voter has proposed and that are not yet decided.
+    open_proposals: usize,
 }
 
-/// The least of voters that decide, and that promise.
+/// Returns the least number of voters that can decide an entry or grant a lease.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
 
 impl Log {
-    /// A voter's log, from what it has stored, in order. Voters are numbered from 1.
-    pub fn open(me: u64, voters: &[u64], records: &[Vec<u8>]) -> Result<Log, LogError> {
+    /// Rebuilds a voter's log from its stored records, given in the order of storing. Voters are numbered
+    /// from 1.
+    pub fn open(own_voter: u64, voters: &[u64], records: &[Vec<u8>]) -> Result<Log, LogError> {
         let mut sorted = voters.to_vec();
         sorted.sort_unstable();
         sorted.dedup();
         if !matches!(sorted.len(), 1 | 3 | 5 | 7) || sorted.len() != voters.len() || sorted[0] == 0 {
-            return Err(LogError::Voters(format!("{} of them; there may be 1, 3, 5 or 7", voters.len())));
+            return Err(LogError::Voters(format!(
+                "{} voters are listed; the list must have 1, 3, 5 or 7 different numbers from 1",
+                voters.len()
+            )));
         }
-        if !sorted.contains(&me) {
-            return Err(LogError::Voters(format!("{me} is not one of them")));
+        if !sorted.contains(&own_voter) {
+            return Err(LogError::Voters(format!("this member's number {own_voter} is not in the list")));
         }
-        let mut mirror = Mirror::default();
+        let mut state = LogState::default();
         for (n, record) in records.iter().enumerate() {
             let (kind, rest) = record.split_first().ok_or(LogError::Record(n))?;
             match kind {
-                0 => mirror = postcard::from_bytes(rest).map_err(|_| LogError::Record(n))?,
+                0 => state = postcard::from_bytes(rest).map_err(|_| LogError::Record(n))?,
                 1 => {
                     let ops: Vec<Op> = postcard::from_bytes(rest).map_err(|_| LogError::Record(n))?;
-                    ops.iter().for_each(|op| mirror.take(op));
+                    ops.iter().for_each(|op| state.apply(op));
                 }
                 _ => return Err(LogError::Record(n)),
             }
         }
-        let ledger = mirror.base.clone();
-        let mirror = Shared(Rc::new(RefCell::new(mirror)));
+        let ledger = state.base.clone();
+        let state = SharedState(Rc::new(RefCell::new(state)));
         let paxos = match sorted.len() {
             1 => None,
-            _ => Some(build(me, &sorted, mirror.clone())?),
+            _ => Some(build_paxos(own_voter, &sorted, state.clone())?),
         };
-        let mut log = Log { me, voters: sorted, mirror, paxos, ledger, open: 0 };
-        log.decided();
+        let mut log = Log { own_voter, voters: sorted, state, paxos, ledger, open_proposals: 0 };
+        log.apply_decided();
         Ok(log)
     }
 
-    /// Time has passed: one tick.
+    /// Advances the library's clock by one tick.
     pub fn tick(&mut self) {
         if let Some(p) = &mut self.paxos {
             p.tick();
         }
     }
 
-    /// Another voter's message.
-    pub fn take(&mut self, from: u64, bytes: &[u8]) -> Result<(), LogError> {
+    /// Processes a message from another voter.
+    pub fn handle_message(&mut self, from: u64, bytes: &[u8]) -> Result<(), LogError> {
         let message: Message<Entry> = postcard::from_bytes(bytes).map_err(|_| LogError::Message)?;
-        let known = self.voters.contains(&from) && from != self.me;
-        if !known || message.get_sender() != from || message.get_receiver() != self.me {
+        let known = self.voters.contains(&from) && from != self.own_voter;
+        if !known || message.get_sender() != from || message.get_receiver() != self.own_voter {
             return Err(LogError::Message);
         }
         if let Some(p) = &mut self.paxos {
@@ -266,60 +277,62 @@
         Ok(())
     }
 
-    /// Puts an entry forward. `false`: too many are open.
+    /// Proposes an entry. Returns `false` if too many proposals are open, the log is full, or the library
+    /// refuses.
     pub fn propose(&mut self, entry: Entry) -> bool {
-        if self.open >= OPEN_MOST || self.mirror.0.borrow().log.len() >= LOG_MOST {
+        if self.open_proposals >= MAX_OPEN_PROPOSALS || self.state.0.borrow().log.len() >= MAX_LOG_ENTRIES {
             return false;
         }
-        self.open += 1;
+        self.open_proposals += 1;
         match &mut self.paxos {
             Some(p) => p.append(entry).is_ok(),
             None => {
                 let n = {
-                    let mut m = self.mirror.0.borrow_mut();
-                    m.note(Op::Append(vec![entry]));
+                    let mut m = self.state.0.borrow_mut();
+                    m.record(Op::Append(vec![entry]));
                     m.trimmed + m.log.len() as u64
                 };
-                self.mirror.0.borrow_mut().note(Op::Decided(n));
+                self.state.0.borrow_mut().record(Op::Decided(n));
                 true
             }
         }
     }
 
-    /// Whether this voter is the one who puts entries forward.
-    pub fn leads(&self) -> bool {
-        self.paxos.as_ref().is_none_or(|p| p.get_current_leader() == Some((self.me, true)))
+    /// Whether this voter is the leader, which proposes entries.
+    pub fn is_leader(&self) -> bool {
+        self.paxos.as_ref().is_none_or(|p| p.get_current_leader() == Some((self.own_voter, true)))
     }
 
-    /// Who is, as far as it is known.
+    /// Returns the number of the leader, as far as it is known.
     pub fn leader(&self) -> Option<u64> {
         match &self.paxos {
-            None => Some(self.me),
+            None => Some(self.own_voter),
             Some(p) => p.get_current_leader().map(|(pid, _)| pid),
         }
     }
 
-    /// What has to be stored before [`Log::messages`] may be fetched: one record, if there is any.
-    pub fn record(&mut self) -> Option<Vec<u8>> {
-        let ops = std::mem::take(&mut self.mirror.0.borrow_mut().ops);
+    /// Takes the changes since the last call as one record, or `None` if there are none. The record has to be
+    /// stored before the messages from [`Log::take_messages`] are sent.
+    pub fn take_record(&mut self) -> Option<Vec<u8>> {
+        let ops = std::mem::take(&mut self.state.0.borrow_mut().ops);
         if ops.is_empty() {
             return None;
         }
         let mut out = vec![1];
-        // Plain data into memory: there is nothing that could fail.
+        // Encoding plain data into memory does not fail.
         out.extend(postcard::to_allocvec(&ops).unwrap_or_default());
         Some(out)
     }
 
-    /// All that is stored as one record, in place of those before.
-    pub fn whole(&self) -> Vec<u8> {
+    /// Returns the whole state as one record that replaces all earlier ones.
+    pub fn snapshot(&self) -> Vec<u8> {
         let mut out = vec![0];
-        out.extend(postcard::to_allocvec(&*self.mirror.0.borrow()).unwrap_or_default());
+        out.extend(postcard::to_allocvec(&*self.state.0.borrow()).unwrap_or_default());
         out
     }
 
-    /// What is to be sent, by voter.
-    pub fn messages(&mut self) -> Vec<(u64, Vec<u8>)> {
+    /// Takes the messages to be sent, each with the number of the receiving voter.
+    pub fn take_messages(&mut self) -> Vec<(u64, Vec<u8>)> {
         let mut out = Vec::new();
         if let Some(p) = &mut self.paxos {
             p.take_outgoing_messages(&mut out);
@@ -328,51 +341,59 @@
         encoded.filter_map(|(to, bytes)| Some((to, bytes.ok()?))).collect()
     }
 
-    /// What was decided since the last call; the ledger has it.
-    pub fn decided(&mut self) -> Vec<Change> {
-        let upto = self.mirror.0.borrow().decided;
-        let from = self.ledger.decided();
+    /// Applies the entries decided since the last call to the ledger and returns the resulting changes of
+    /// owners.
+    pub fn apply_decided(&mut self) -> Vec<Change> {
+        let upto = self.state.0.borrow().decided;
+        let from = self.ledger.decided_entries();
         if upto <= from {
             return Vec::new();
         }
-        let entries = self.mirror.0.borrow().range(from as usize, upto as usize);
-        self.open = if self.leads() { self.open.saturating_sub(entries.len()) } else { 0 };
+        let entries = self.state.0.borrow().entries(from as usize, upto as usize);
+        self.open_proposals =
+            if self.is_leader() { self.open_proposals.saturating_sub(entries.len()) } else { 0 };
         let changes = entries.iter().filter_map(|e| self.ledger.apply(e)).collect();
-        if self.ledger.decided() >= self.mirror.0.borrow().trimmed + LONG {
-            self.shorten();
+        if self.ledger.decided_entries() >= self.state.0.borrow().trimmed + COMPACTION_ENTRIES {
+            self.compact();
         }
         changes
     }
 
-    fn shorten(&mut self) {
+    /// Trims the decided entries that are no longer needed.
+    fn compact(&mut self) {
         match &mut self.paxos {
             Some(p) => {
-                // The first among voters has all of them trim what all have; an error means that there is nothing.
+                // The leader makes all voters trim the entries that all of them have; an error means that
+                // there are none.
                 let _ = p.trim(None);
             }
             None => {
-                let upto = self.ledger.decided();
-                self.mirror.0.borrow_mut().note(Op::Trim(upto));
-                self.mirror.0.borrow_mut().note(Op::Compacted(upto));
+                let upto = self.ledger.decided_entries();
+                self.state.0.borrow_mut().record(Op::Trim(upto));
+                self.state.0.borrow_mut().record(Op::Compacted(upto));
             }
         }
     }
 
-    /// What is decided, as far as this voter knows.
+    /// Returns the result of all entries that this voter knows to be decided.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 }
 
-fn build(me: u64, voters: &[u64], mirror: Shared) -> Result<OmniPaxos<Entry, Shared>, LogError> {
+fn build_paxos(
+    own_voter: u64,
+    voters: &[u64],
+    state: SharedState,
+) -> Result<OmniPaxos<Entry, SharedState>, LogError> {
     let config = OmniPaxosConfig {
         cluster_config: ClusterConfig { configuration_id: 1, nodes: voters.to_vec(), flexible_quorum: None },
         server_config: ServerConfig {
-            pid: me,
+            pid: own_voter,
             election_tick_timeout: ELECTION_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
             ..ServerConfig::default()
         },
     };
-    config.build(mirror).map_err(|e| LogError::Voters(e.to_string()))
+    config.build(state).map_err(|e| LogError::Voters(e.to_string()))
 }
--- a/crates/duties/src/wire.rs
+++ b/crates/duties/src/wire.rs
@@ -1,122 +1,130 @@
-//! What members and voters say to each other.
+//! The messages between members and voters, and their encoding.
 
 use crate::ledger::{Epoch, Life};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of these messages; others are dropped and counted.
-pub const VERSION: u8 = 1;
-/// The longest message that is read, in bytes: all duties of a fleet, and a log made short.
-pub const MESSAGE_MOST: usize = 1 << 20;
+/// The version of the message format; messages of other versions are dropped and counted.
+pub const MESSAGE_VERSION: u8 = 1;
+/// The maximum length of a message, in bytes: large enough for all duties of a fleet and a compacted log.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Which folder a voter's state is in: another one after its loss.
-pub type Folder = u64;
+/// Identifies the folder that stores a voter's state. A voter whose folder was lost gets a new identifier.
+pub type FolderId = u64;
 
-/// A message.
+/// A message between members and voters. The order of the variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wire {
-    /// A member asks a voter for its promise.
-    Renew {
-        /// The question's number.
-        n: u64,
-        /// Up to which entry the member knows what it owns: it acts on nothing that it had lost by then.
-        seen: u64,
+pub enum Message {
+    /// A member asks a voter to renew its promise.
+    RenewLease {
+        /// The number of the request, chosen by the member.
+        request_id: u64,
+        /// The number of the last log entry up to which the member knows its duties. It no longer acts on any
+        /// duty that it had lost by then.
+        known_upto: u64,
     },
-    /// A voter answers.
-    Granted {
-        /// The question's number.
-        n: u64,
-        /// Up to which entry the voter knows.
-        upto: u64,
-        /// It holds back what was assigned after this; `None`: it can't promise anything yet.
-        clear: Option<Epoch>,
-        /// What the member owns, where that has changed since what it knew.
+    /// A voter answers a lease request.
+    LeaseGranted {
+        /// The number of the request that this answers.
+        request_id: u64,
+        /// The number of the last decided log entry that the voter knows.
+        decided_upto: u64,
+        /// The grant covers assignments up to this epoch; later ones are held back. `None` means that the
+        /// voter can't promise anything yet.
+        effective_upto: Option<Epoch>,
+        /// The duties that the member owns; `None` if they have not changed since the entry that the member
+        /// knew.
         owned: Option<Vec<(String, Epoch)>>,
     },
-    /// A voter tells a member that something has changed for it.
-    News,
-    /// A member ends in good order: it acts on nothing any more.
-    End {
-        /// The number of its last question: one that overtook this, or is overtaken, asks for nothing any more.
-        n: u64,
+    /// A voter notifies a member that the duties it owns have changed.
+    AssignmentChanged,
+    /// A member leaves in an orderly way: it stops acting on all its duties.
+    Leave {
+        /// The first request number that the member has not used. Requests up to this number are void,
+        /// whether they arrive before or after this message.
+        request_id: u64,
     },
-    /// An operator wants a duty to be owned by this life; 0: by anybody but who owns it.
-    Move {
-        /// Which.
+    /// An operator requests another owner for a duty.
+    MoveDuty {
+        /// The name of the duty.
         duty: String,
-        /// By whom.
+        /// The life of the requested owner; 0 stands for any member but the present owner.
         to: Life,
     },
-    /// Between voters: the library's message.
-    Log {
-        /// How many records were stored when the sender started.
-        opened: u64,
-        /// And by now.
-        stored: u64,
-        /// The message.
+    /// A message of the consensus library between two voters.
+    Consensus {
+        /// The number of records that the sender had stored when it started.
+        records_at_start: u64,
+        /// The number of records that the sender has stored by now.
+        records_stored: u64,
+        /// The library's message in its postcard encoding.
         bytes: Vec<u8>,
     },
-    /// A voter without any state asks another how it stands.
-    Blank {
-        /// The asker's folder.
-        folder: Folder,
+    /// A voter without any stored state asks another voter for its folder and state.
+    StateQuery {
+        /// The identifier of the asking voter's folder.
+        folder: FolderId,
     },
-    /// The answer: its folder, and with which folders the voters began, if they have.
-    Began {
-        /// The sender's folder.
-        folder: Folder,
-        /// All voters' folders.
-        with: Option<BTreeMap<u64, Folder>>,
+    /// The answer to a [`Message::StateQuery`].
+    StateReport {
+        /// The identifier of the sender's folder.
+        folder: FolderId,
+        /// The folder of each voter at the first start of the fleet; `None` if the sender has not started
+        /// voting.
+        founding_folders: Option<BTreeMap<u64, FolderId>>,
     },
-    /// What this life of yours holds is an older copy of what was held before: it may not vote.
+    /// The recipient's stored state is an older copy of a state that it had before: the recipient may not
+    /// vote.
     OldCopy {
-        /// Which: a message of an earlier life may come late, and says nothing of the present one.
+        /// The life of the recipient to which this applies. The message may arrive late, in a later life to
+        /// which it does not apply.
         life: Life,
     },
 }
 
-impl Wire {
-    /// As it is sent, by one of this roster: who is which voter has to be the same for all.
+impl Message {
+    /// Encodes the message with the version and the sender's roster, a hash of the ordered list of voters,
+    /// which has to be the same for all members.
     pub fn to_bytes(&self, roster: u64) -> Vec<u8> {
-        let mut out = vec![VERSION];
+        let mut out = vec![MESSAGE_VERSION];
         out.extend(roster.to_be_bytes());
-        // Plain data into memory: there is nothing that could fail.
+        // Encoding plain data into memory does not fail.
         out.extend(postcard::to_allocvec(self).unwrap_or_default());
         out
     }
 
-    /// Reads a message.
-    pub fn of_bytes(roster: u64, bytes: &[u8]) -> Result<Wire, Unread> {
-        let (&VERSION, rest) = bytes.split_first().ok_or(Unread::Malformed)? else {
-            return Err(Unread::Version);
+    /// Decodes a message; the sender's version and roster have to match.
+    pub fn from_bytes(roster: u64, bytes: &[u8]) -> Result<Message, MessageError> {
+        let (&MESSAGE_VERSION, rest) = bytes.split_first().ok_or(MessageError::Malformed)? else {
+            return Err(MessageError::OtherVersion);
         };
-        let (theirs, rest) = rest.split_at_checked(8).ok_or(Unread::Malformed)?;
-        if theirs != roster.to_be_bytes() {
-            return Err(Unread::Roster);
+        let (sender_roster, rest) = rest.split_at_checked(8).ok_or(MessageError::Malformed)?;
+        if sender_roster != roster.to_be_bytes() {
+            return Err(MessageError::OtherRoster);
         }
         match postcard::from_bytes(rest) {
-            Ok(message) if rest.len() <= MESSAGE_MOST => Ok(message),
-            _ => Err(Unread::Malformed),
+            Ok(message) if rest.len() <= MAX_MESSAGE_BYTES => Ok(message),
+            _ => Err(MessageError::Malformed),
         }
     }
 }
 
-/// Why a message is not read.
+/// The reason why a message could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// It is cut off, too long, or junk.
+pub enum MessageError {
+    /// The message is truncated, too long or not a valid encoding.
     Malformed,
-    /// It is of another version.
-    Version,
-    /// Its sender has other voters, or the same in another order.
-    Roster,
+    /// The message has another version of the format.
+    OtherVersion,
+    /// The sender's configuration lists other voters, or the same voters in another order.
+    OtherRoster,
 }
 
-/// Who has sent a message, as the link has made sure.
+/// The sender of a message, as authenticated by the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sender {
-    /// Its life.
+    /// The sender's life.
     pub life: Life,
-    /// Which voter it is, if it is one.
+    /// The sender's voter number; `None` if it is not a voter.
     pub voter: Option<u64>,
 }
--- a/crates/duties/tests/model.rs
+++ b/crates/duties/tests/model.rs
@@ -1,35 +1,40 @@
-//! Leases, epochs and the receiver's check, explored in every order of things up to a depth: messages that are lost,
-//! repeated and overtake each other, owners that stand still in the middle of an effect, voters that start anew, and
-//! clocks at both ends of what the margin is for. The code that is checked is the crate's own.
+//! A model check of leases, epochs and the receiver's fence. It explores every order of events up to a depth:
+//! messages that are lost, repeated or reordered, owners that pause between the check and the effect, voters
+//! that restart, and clocks at both limits of the margin for drift. The leases and the fence are the crate's
+//! own code.
 
-use garnettally_duties::{Change, Epoch, Fence, Held, Promises};
+use garnettally_duties::{Change, Epoch, Fence, OwnerGrants, Promises};
 use garnettally_model::Micros;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 const DUTY: &str = "d";
-/// A lease, by a voter's clock, in steps: 11 of a clock that is a tenth fast are 10 of true time.
+/// A lease by a voter's clock, in microseconds. On a clock that is a tenth fast, 11 units pass in 10 units of
+/// true time.
 const LEASE: Micros = Micros(1_100);
-/// One step of true time.
-const STEP: i64 = 500;
-/// Clocks of voters are fast and those of owners slow, as far as the margin allows: the worst there is.
-const FAST: i64 = 1_100;
-const SLOW: i64 = 900;
+/// The length of one step of true time, in microseconds.
+const STEP_MICROS: i64 = 500;
+/// The rate of the voters' clocks in parts per thousand: as fast as the margin allows, which is the worst
+/// case.
+const FAST_RATE: i64 = 1_100;
+/// The rate of the owners' clocks in parts per thousand: as slow as the margin allows, which is the worst
+/// case.
+const SLOW_RATE: i64 = 900;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Wire {
+enum Message {
     Renew {
         owner: u64,
         voter: usize,
-        asked: Micros,
-        seen: u64,
+        requested_at: Micros,
+        known_upto: u64,
     },
     Grant {
         owner: u64,
         voter: usize,
-        asked: Micros,
-        upto: u64,
-        clear: Option<Epoch>,
+        requested_at: Micros,
+        decided_upto: u64,
+        effective_upto: Option<Epoch>,
         owned: Vec<(String, Epoch)>,
     },
     Effect {
@@ -40,202 +45,229 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Voter {
     promises: Promises,
-    /// Entries that it knows: assignments of the one duty to these lives, by epoch.
-    knows: u64,
+    /// The number of log entries that the voter knows.
+    known_entries: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
+    /// The number of steps of true time so far.
     time: i64,
-    /// Who owns the duty by each entry; decided by consensus, and so one list.
+    /// The owner of the duty by each log entry. There is one list for all voters, since consensus decides it.
     log: Vec<u64>,
     voters: Vec<Voter>,
-    owners: Vec<Held>,
-    /// An owner has read that it may act, and has not done so yet.
-    about_to: Vec<Option<Epoch>>,
-    net: BTreeSet<Wire>,
+    owners: Vec<OwnerGrants>,
+    /// For each owner, the epoch in which it was allowed to act when it last checked, if it has not acted
+    /// since.
+    pending_effect: Vec<Option<Epoch>>,
+    /// Messages on their way.
+    messages: BTreeSet<Message>,
     fence: Fence,
-    highest: Epoch,
-    /// The receiver took an epoch below one that it had taken.
-    went_back: bool,
+    /// The highest epoch that the receiver has accepted.
+    highest_epoch: Epoch,
+    /// The receiver has accepted an epoch below one that it had accepted before.
+    epoch_went_back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Time,
+enum FleetAction {
+    AdvanceTime,
+    /// The voters decide that this owner gets the duty.
     Decide(u64),
-    Learn(usize),
-    Ask(u64, usize),
-    Deliver(Wire, bool),
-    Lose(Wire),
-    Read(u64),
-    Do(u64),
-    Restart(usize),
+    /// A voter learns of the next log entry.
+    LearnEntry(usize),
+    /// An owner asks a voter for a lease.
+    RequestLease(u64, usize),
+    /// A message arrives; if the flag is set, it will arrive again.
+    Deliver(Message, bool),
+    DropMessage(Message),
+    /// An owner reads whether it may act.
+    CheckMayAct(u64),
+    /// An owner acts after its check.
+    SendEffect(u64),
+    RestartVoter(usize),
 }
 
+/// The bounds of the exploration, and the parts of the protocol that a mutant leaves out.
 struct Fleet {
-    /// How long an owner acts by a lease; the mutant has no margin.
-    acts: Micros,
+    /// How long an owner acts on a lease, by its own clock; the mutant uses no margin for drift.
+    owner_lease: Micros,
+    /// Whether the receiver refuses old epochs; the mutant does not.
     fenced: bool,
-    /// A voter that starts anew keeps silent; the mutant does not.
-    silent: bool,
+    /// Whether a restarted voter makes no promises for the length of a lease; the mutant does not wait.
+    restart_waits: bool,
+    /// The maximum number of steps of true time.
     steps: i64,
+    /// The maximum number of log entries.
     entries: usize,
+    /// Whether the first voter may restart.
     restarts: bool,
     voters: usize,
-    /// Of how many voters owners believe that there are: they count a majority of these.
-    believed: usize,
-    /// Questions and answers take no time, and can only be lost: more of the rest is explored.
-    direct: bool,
+    /// The number of voters of which owners require a majority; the mutant assumes too few.
+    believed_voters: usize,
+    /// Lease requests and answers take no time and can only be lost, so that more of the other behaviour is
+    /// explored.
+    instant_requests: bool,
 }
 
+/// Returns the reading of a clock with this rate after `time` steps of true time.
 fn clock(time: i64, rate: i64) -> Micros {
-    Micros(time * STEP * rate / 1_000)
+    Micros(time * STEP_MICROS * rate / 1_000)
 }
 
 impl Fleet {
-    fn by_voters(&self, s: &State) -> Micros {
-        clock(s.time, FAST)
+    fn voter_clock(&self, s: &State) -> Micros {
+        clock(s.time, FAST_RATE)
     }
-    fn by_owners(&self, s: &State) -> Micros {
-        clock(s.time, SLOW)
+    fn owner_clock(&self, s: &State) -> Micros {
+        clock(s.time, SLOW_RATE)
     }
 }
 
-/// A voter answers, as `voter.rs` has it for one duty.
-fn renewed(s: &mut State, now: Micros, wire: Wire) -> Option<Wire> {
-    let Wire::Renew { owner, voter, asked, seen } = wire else { return None };
+/// Answers a lease request as `voter.rs` does, for a single duty.
+fn answer_request(s: &mut State, now: Micros, message: Message) -> Option<Message> {
+    let Message::Renew { owner, voter, requested_at, known_upto } = message else { return None };
     let v = &mut s.voters[voter];
-    let promised = v.promises.renew(now, owner, seen).is_some();
-    let upto = v.knows;
-    let mine = s.log[upto as usize - 1] == owner;
-    let held_back = mine && v.promises.is_held_back(now, DUTY, owner);
-    let clear = promised.then_some(if held_back { upto - 1 } else { u64::MAX });
-    let owned = if mine { vec![(DUTY.to_string(), upto)] } else { Vec::new() };
-    Some(Wire::Grant { owner, voter, asked, upto, clear, owned })
+    let promised = v.promises.renew(now, owner, known_upto).is_some();
+    let decided_upto = v.known_entries;
+    let is_owner = s.log[decided_upto as usize - 1] == owner;
+    let held_back = is_owner && v.promises.is_held_back(now, DUTY, owner);
+    let effective_upto = promised.then_some(if held_back { decided_upto - 1 } else { u64::MAX });
+    let owned = if is_owner { vec![(DUTY.to_string(), decided_upto)] } else { Vec::new() };
+    Some(Message::Grant { owner, voter, requested_at, decided_upto, effective_upto, owned })
 }
 
-fn granted(s: &mut State, wire: Wire) {
-    if let Wire::Grant { owner, voter, asked, upto, clear, owned } = wire {
-        s.owners[owner as usize - 1].granted(voter as u64, asked, upto, clear, Some(owned));
+/// Records a voter's answer at the owner that has asked.
+fn apply_grant(s: &mut State, message: Message) {
+    if let Message::Grant { owner, voter, requested_at, decided_upto, effective_upto, owned } = message {
+        s.owners[owner as usize - 1].record_grant(
+            voter as u64,
+            requested_at,
+            decided_upto,
+            effective_upto,
+            Some(owned),
+        );
     }
 }
 
 impl Model for Fleet {
     type State = State;
-    type Action = Act;
+    type Action = FleetAction;
 
     fn init_states(&self) -> Vec<State> {
-        // The voters' silence after the start of all is over.
-        let voter = Voter { promises: Promises::new(Micros(-LEASE.0), LEASE), knows: 1 };
-        let held = || Held::with_time(self.acts, self.believed);
+        // The voters started one lease ago, so that they may make promises.
+        let voter = Voter { promises: Promises::new(Micros(-LEASE.0), LEASE), known_entries: 1 };
+        let no_grants = || OwnerGrants::with_owner_lease(self.owner_lease, self.believed_voters);
         vec![State {
             time: 0,
             log: vec![1],
             voters: vec![voter; self.voters],
-            owners: vec![held(), held()],
-            about_to: vec![None, None],
-            net: BTreeSet::new(),
+            owners: vec![no_grants(), no_grants()],
+            pending_effect: vec![None, None],
+            messages: BTreeSet::new(),
             fence: Fence::default(),
-            highest: 0,
-            went_back: false,
+            highest_epoch: 0,
+            epoch_went_back: false,
         }]
     }
 
-    fn actions(&self, s: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, s: &State, actions: &mut Vec<FleetAction>) {
         if s.time < self.steps {
-            acts.push(Act::Time);
+            actions.push(FleetAction::AdvanceTime);
         }
         if s.log.len() < self.entries {
-            // To the other one.
-            acts.push(Act::Decide(3 - s.log[s.log.len() - 1]));
+            // The duty goes to the other one of the two owners.
+            actions.push(FleetAction::Decide(3 - s.log[s.log.len() - 1]));
         }
         for (v, voter) in s.voters.iter().enumerate() {
-            if (voter.knows as usize) < s.log.len() {
-                acts.push(Act::Learn(v));
+            if (voter.known_entries as usize) < s.log.len() {
+                actions.push(FleetAction::LearnEntry(v));
             }
-            if self.restarts && voter.promises.speaks(self.by_voters(s)) && s.time > 0 && v == 0 {
-                acts.push(Act::Restart(v));
+            if self.restarts && voter.promises.may_promise(self.voter_clock(s)) && s.time > 0 && v == 0 {
+                actions.push(FleetAction::RestartVoter(v));
             }
             for owner in 1..=2 {
-                if s.net.len() < 2 {
-                    acts.push(Act::Ask(owner, v));
+                if s.messages.len() < 2 {
+                    actions.push(FleetAction::RequestLease(owner, v));
                 }
             }
         }
-        for wire in &s.net {
-            acts.push(Act::Deliver(wire.clone(), false));
-            acts.push(Act::Lose(wire.clone()));
-            if matches!(wire, Wire::Effect { .. }) {
-                acts.push(Act::Deliver(wire.clone(), true));
+        for message in &s.messages {
+            actions.push(FleetAction::Deliver(message.clone(), false));
+            actions.push(FleetAction::DropMessage(message.clone()));
+            if matches!(message, Message::Effect { .. }) {
+                actions.push(FleetAction::Deliver(message.clone(), true));
             }
         }
         for owner in 1..=2u64 {
             let i = owner as usize - 1;
-            match s.about_to[i] {
-                Some(_) if s.net.len() < 3 => acts.push(Act::Do(owner)),
-                None if s.owners[i].may_act(self.by_owners(s), DUTY).is_some() => acts.push(Act::Read(owner)),
+            match s.pending_effect[i] {
+                Some(_) if s.messages.len() < 3 => actions.push(FleetAction::SendEffect(owner)),
+                None if s.owners[i].may_act(self.owner_clock(s), DUTY).is_some() => {
+                    actions.push(FleetAction::CheckMayAct(owner))
+                }
                 _ => {}
             }
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: FleetAction) -> Option<State> {
         let mut s = last.clone();
-        let (voters, owners) = (self.by_voters(last), self.by_owners(last));
-        match act {
-            Act::Time => s.time += 1,
-            Act::Decide(owner) => s.log.push(owner),
-            Act::Learn(v) => {
+        let (voter_time, owner_time) = (self.voter_clock(last), self.owner_clock(last));
+        match action {
+            FleetAction::AdvanceTime => s.time += 1,
+            FleetAction::Decide(owner) => s.log.push(owner),
+            FleetAction::LearnEntry(v) => {
                 let voter = &mut s.voters[v];
-                let at = voter.knows as usize;
+                let at = voter.known_entries as usize;
                 let change =
-                    Change { duty: DUTY.into(), from: s.log[at - 1], to: s.log[at], at: at as u64 + 1 };
-                voter.knows += 1;
-                voter.promises.changed(voters, &change);
+                    Change { duty: DUTY.into(), from: s.log[at - 1], to: s.log[at], epoch: at as u64 + 1 };
+                voter.known_entries += 1;
+                voter.promises.record_change(voter_time, &change);
             }
-            Act::Ask(owner, voter) => {
-                let seen = s.owners[owner as usize - 1].seen();
-                let wire = Wire::Renew { owner, voter, asked: owners, seen };
-                if self.direct {
-                    let grant = renewed(&mut s, voters, wire)?;
-                    granted(&mut s, grant);
-                } else if !s.net.insert(wire) {
+            FleetAction::RequestLease(owner, voter) => {
+                let known_upto = s.owners[owner as usize - 1].known_upto();
+                let message = Message::Renew { owner, voter, requested_at: owner_time, known_upto };
+                if self.instant_requests {
+                    let grant = answer_request(&mut s, voter_time, message)?;
+                    apply_grant(&mut s, grant);
+                } else if !s.messages.insert(message) {
                     return None;
                 }
             }
-            Act::Lose(wire) => {
-                s.net.remove(&wire);
+            FleetAction::DropMessage(message) => {
+                s.messages.remove(&message);
             }
-            Act::Deliver(wire, stays) => {
-                if !stays {
-                    s.net.remove(&wire);
+            FleetAction::Deliver(message, repeated) => {
+                if !repeated {
+                    s.messages.remove(&message);
                 }
-                match wire {
-                    Wire::Renew { .. } => {
-                        let grant = renewed(&mut s, voters, wire)?;
-                        s.net.insert(grant);
+                match message {
+                    Message::Renew { .. } => {
+                        let grant = answer_request(&mut s, voter_time, message)?;
+                        s.messages.insert(grant);
                     }
-                    Wire::Grant { .. } => granted(&mut s, wire),
-                    Wire::Effect { epoch } => {
+                    Message::Grant { .. } => apply_grant(&mut s, message),
+                    Message::Effect { epoch } => {
                         if !self.fenced || s.fence.admits(DUTY, epoch) {
-                            s.went_back |= epoch < s.highest;
-                            s.highest = s.highest.max(epoch);
+                            s.epoch_went_back |= epoch < s.highest_epoch;
+                            s.highest_epoch = s.highest_epoch.max(epoch);
                         }
                     }
                 }
             }
-            Act::Read(owner) => {
+            FleetAction::CheckMayAct(owner) => {
                 let i = owner as usize - 1;
-                s.about_to[i] = s.owners[i].may_act(owners, DUTY);
+                s.pending_effect[i] = s.owners[i].may_act(owner_time, DUTY);
             }
-            Act::Do(owner) => {
-                let epoch = s.about_to[owner as usize - 1].take()?;
-                s.net.insert(Wire::Effect { epoch });
+            FleetAction::SendEffect(owner) => {
+                let epoch = s.pending_effect[owner as usize - 1].take()?;
+                s.messages.insert(Message::Effect { epoch });
             }
-            Act::Restart(v) => {
-                // It knows again what was decided, and not what it has promised.
-                let from = if self.silent { voters } else { Micros(voters.0 - LEASE.0) };
+            FleetAction::RestartVoter(v) => {
+                // A restarted voter has read the decided entries again, but does not know its earlier
+                // promises.
+                let from = if self.restart_waits { voter_time } else { Micros(voter_time.0 - LEASE.0) };
                 s.voters[v].promises = Promises::new(from, LEASE);
             }
         }
@@ -245,67 +277,84 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one owner at a time", |m: &Fleet, s: &State| {
-                let now = m.by_owners(s);
+                let now = m.owner_clock(s);
                 s.owners.iter().filter(|o| o.may_act(now, DUTY).is_some()).count() <= 1
             }),
-            Property::always("no epoch goes back at the receiver", |_: &Fleet, s: &State| !s.went_back),
+            Property::always("no epoch goes back at the receiver", |_: &Fleet, s: &State| !s.epoch_went_back),
             Property::sometimes("the duty changes hands", |m: &Fleet, s: &State| {
-                s.owners[1].may_act(m.by_owners(s), DUTY).is_some()
+                s.owners[1].may_act(m.owner_clock(s), DUTY).is_some()
             }),
         ]
     }
 }
 
-/// One voter, and messages that are under way for as long as they like.
-const ONE: Fleet = Fleet {
-    acts: Micros(900),
+/// One voter, and messages with any delay.
+const ONE_VOTER: Fleet = Fleet {
+    owner_lease: Micros(900),
     fenced: true,
-    silent: true,
+    restart_waits: true,
     steps: 3,
     entries: 2,
     restarts: true,
     voters: 1,
-    believed: 1,
-    direct: false,
+    believed_voters: 1,
+    instant_requests: false,
 };
-/// Three voters that learn of entries in any order.
-const THREE: Fleet = Fleet { voters: 3, believed: 3, direct: true, entries: 3, steps: 4, ..ONE };
+/// Three voters that learn of log entries at different times.
+const THREE_VOTERS: Fleet =
+    Fleet { voters: 3, believed_voters: 3, instant_requests: true, entries: 3, steps: 4, ..ONE_VOTER };
 
-/// States that are looked at; `DUTIES_STATES` asks for more than CI does.
-fn most() -> usize {
+/// Returns the number of states to explore; the environment variable `DUTIES_STATES` overrides the number for
+/// CI.
+fn max_states() -> usize {
     std::env::var("DUTIES_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(300_000)
 }
 
 #[test]
-fn the_margin_here_is_the_crates_own() {
-    assert_eq!(garnettally_duties::shortened(LEASE), ONE.acts);
+fn the_models_owner_lease_equals_that_of_the_crate() {
+    assert_eq!(garnettally_duties::owner_lease(LEASE), ONE_VOTER.owner_lease);
 }
 
 #[test]
-fn no_two_owners_and_no_epoch_back_in_any_order() {
-    for (what, fleet) in [("one voter", ONE), ("three", THREE)] {
-        let checker = fleet.checker().threads(4).target_state_count(most()).spawn_bfs().join();
+fn in_any_order_of_events_there_is_one_owner_at_a_time_and_epochs_never_go_back() {
+    for (what, fleet) in [("one voter", ONE_VOTER), ("three voters", THREE_VOTERS)] {
+        let checker = fleet.checker().threads(4).target_state_count(max_states()).spawn_bfs().join();
         checker.assert_no_discovery("one owner at a time");
         checker.assert_no_discovery("no epoch goes back at the receiver");
-        assert!(checker.discovery("the duty changes hands").is_some(), "{what}: nothing was tried");
+        assert!(
+            checker.discovery("the duty changes hands").is_some(),
+            "{what}: the duty never changed hands, so nothing was checked"
+        );
         println!("{what}: {} states, depth {}", checker.unique_state_count(), checker.max_depth());
     }
 }
 
-/// Each of these leaves one thing out, and has to be caught.
+/// Each mutant leaves out one part of the protocol; the check has to find a violation in each.
 #[test]
-fn mutants_are_caught() {
-    let found = |fleet: Fleet, what: &'static str| {
-        let wanted = stateright::HasDiscoveries::AnyOf([what].into_iter().collect());
+fn a_protocol_with_any_one_safeguard_left_out_violates_a_property() {
+    let found = |fleet: Fleet, property: &'static str| {
+        let wanted = stateright::HasDiscoveries::AnyOf([property].into_iter().collect());
         let checker =
             fleet.checker().threads(4).target_state_count(8_000_000).finish_when(wanted).spawn_bfs();
         let checker = checker.join();
-        println!("{what}: {} states", checker.unique_state_count());
-        checker.discovery(what).is_some()
+        println!("{property}: {} states", checker.unique_state_count());
+        checker.discovery(property).is_some()
     };
-    let (one, back) = ("one owner at a time", "no epoch goes back at the receiver");
-    assert!(found(Fleet { fenced: false, restarts: false, ..ONE }, back), "no check at the receiver");
-    assert!(found(Fleet { acts: LEASE, ..ONE }, one), "no margin for clocks");
-    assert!(found(Fleet { silent: false, ..ONE }, one), "a voter that forgets what it promised");
-    assert!(found(Fleet { believed: 1, ..THREE }, one), "an owner by one voter's word of three");
+    let (single_owner, no_old_epoch) = ("one owner at a time", "no epoch goes back at the receiver");
+    assert!(
+        found(Fleet { fenced: false, restarts: false, ..ONE_VOTER }, no_old_epoch),
+        "no violation found without a check at the receiver"
+    );
+    assert!(
+        found(Fleet { owner_lease: LEASE, ..ONE_VOTER }, single_owner),
+        "no violation found without a margin for clock drift"
+    );
+    assert!(
+        found(Fleet { restart_waits: false, ..ONE_VOTER }, single_owner),
+        "no violation found with a restarted voter that does not wait"
+    );
+    assert!(
+        found(Fleet { believed_voters: 1, ..THREE_VOTERS }, single_owner),
+        "no violation found with owners that need one voter of three"
+    );
 }
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -4,7 +4,9 @@
 use crate::{Net, Proxy};
 use calloop::channel::{channel, Event as Came, Sender};
 use garnettally_config::file::Duties as Plan;
-use garnettally_duties::{Change, Duties, Event, Input, Output, Sender as From, Settings, Standing, To};
+use garnettally_duties::{
+    Change, Duties, Event, Input, Output, Recipient, Sender as From, Settings, Standing,
+};
 use garnettally_link::{time_since_boot, Link};
 use garnettally_model::Micros;
 use garnettally_peers::MemberState;
@@ -60,7 +62,7 @@
                 // The lock goes with the store: first the old one, then the new one.
                 open = None;
                 Store::open(&folder, fresh).map(|(store, records)| {
-                    let number = store.number();
+                    let number = store.folder_id();
                     open = Some(store);
                     Done::Opened(records, number)
                 })
@@ -94,7 +96,7 @@
             voters: (1..=plan.voters.len() as u64).collect(),
             // Names have no control characters.
             roster: garnettally_verdicts::name_hash(&plan.voters.join("\n")),
-            me: number,
+            own_voter: number,
             lease: Micros(plan.lease.as_micros() as i64),
             duties: plan.all_names(),
         };
@@ -148,7 +150,7 @@
     pub fn drain(&mut self, drained: bool) {
         if self.drained != drained {
             self.drained = drained;
-            self.duties.handle(time_since_boot(), if drained { Input::End } else { Input::Resume });
+            self.duties.handle(time_since_boot(), if drained { Input::Leave } else { Input::Resume });
         }
     }
 
@@ -209,11 +211,11 @@
         }
     }
 
-    fn send(&mut self, link: &mut Link, to: To, message: &[u8]) {
+    fn send(&mut self, link: &mut Link, to: Recipient, message: &[u8]) {
         let life = match to {
-            To::Member(life) => Some(life),
-            To::Voter(v) if Some(v) == self.me => Some(self.life),
-            To::Voter(v) => {
+            Recipient::Member(life) => Some(life),
+            Recipient::Voter(v) if Some(v) == self.me => Some(self.life),
+            Recipient::Voter(v) => {
                 let name = self.plan.voters.get(v as usize - 1);
                 let found =
                     link.other_members().find(|(id, s)| Some(&id.name) == name && *s != MemberState::Down);
@@ -235,28 +237,30 @@
 
     fn tell(&mut self, net: &Net, link: &Link, event: Event) {
         match event {
-            Event::Votes => info!(net.log, "this voter takes part"),
+            Event::VotingStarted => info!(net.log, "this voter takes part"),
             Event::SteppedDown => {
                 warn!(net.log, "this voter has stepped down until it can store again"; "error" => &self.failure)
             }
-            Event::MayNotVote(Standing::Blank) => {
+            Event::MayNotVote(Standing::NoState) => {
                 info!(net.log, "this voter has no state, and asks the others")
             }
             Event::MayNotVote(standing) => {
                 error!(net.log, "this voter may not vote"; "why" => standing_name(Some(standing)))
             }
-            Event::OtherVoters(life) => {
+            Event::VotersMismatch(life) => {
                 let member =
                     link.other_members().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str());
                 error!(net.log, "a member's file names other voters, or in another order: it is not heard";
                     "member" => member);
             }
-            Event::Damaged(why) => error!(net.log, "this voter's state can't be read"; "error" => why),
-            Event::Owns(owned) => {
+            Event::StateUnreadable(why) => {
+                error!(net.log, "this voter's state can't be read"; "error" => why)
+            }
+            Event::OwnedDuties(owned) => {
                 let owned: Vec<String> = owned.iter().map(|(d, e)| format!("{d} {e}")).collect();
                 info!(net.log, "owns these duties now, by epoch"; "duties" => owned.join(", "));
             }
-            Event::Changed(change) => {
+            Event::OwnerChanged(change) => {
                 let mut there = false;
                 for (id, state) in
                     link.other_members().filter(|(id, _)| id.boot == change.from || id.boot == change.to)
@@ -270,7 +274,7 @@
                     (_, true) => "handed over",
                     (_, false) => "its owner was gone",
                 };
-                info!(net.log, "a duty has a new owner"; "duty" => &change.duty, "epoch" => change.at,
+                info!(net.log, "a duty has a new owner"; "duty" => &change.duty, "epoch" => change.epoch,
                     "from" => self.name(change.from), "to" => self.name(change.to), "why" => why);
                 self.changes.insert(change.duty.clone(), (change, Instant::now(), why));
                 // Names of lives that are neither in a change nor there any more are given up.
@@ -312,7 +316,7 @@
             .into_iter()
             .flat_map(|l| l.duties())
             .map(|(duty, held)| {
-                let last = self.changes.get(duty).filter(|(c, _, _)| c.at == held.epoch);
+                let last = self.changes.get(duty).filter(|(c, _, _)| c.epoch == held.epoch);
                 json!({
                     "duty": duty, "owner": name(held.owner), "life": format!("{:016x}", held.owner),
                     "epoch": held.epoch,
@@ -323,8 +327,8 @@
             .collect();
         json!({
             "member": link.own_identity().name, "life": format!("{:016x}", self.life), "voters": self.plan.voters,
-            "voter": self.me.is_some(), "standing": self.me.map(|_| standing_name(self.duties.standing())), "leads": self.duties.leads(),
-            "decided": self.duties.ledger().map(|l| l.decided()),
+            "voter": self.me.is_some(), "standing": self.me.map(|_| standing_name(self.duties.standing())), "leads": self.duties.is_leader(),
+            "decided": self.duties.ledger().map(|l| l.decided_entries()),
             "lease_ms": self.plan.lease.as_millis() as u64, "owned": owned, "duties": all,
             "store_failures": self.failures, "last_failure": &self.failure,
         })
@@ -334,16 +338,16 @@
     pub fn stats(&self, out: &mut String) {
         let now = time_since_boot();
         let acts = self.duties.owned().filter(|(d, e, _)| self.duties.may_act(now, d) == Some(*e)).count();
-        let votes = self.duties.standing() == Some(Standing::Votes);
+        let votes = self.duties.standing() == Some(Standing::Voting);
         for (what, n) in [
             ("owned", self.duties.owned().count() as u64),
             ("acting", acts as u64),
             ("votes", u64::from(votes)),
-            ("leads", u64::from(self.duties.leads())),
+            ("leads", u64::from(self.duties.is_leader())),
         ] {
             let _ = writeln!(out, "edge_gw.duties.{what}:{n}|g");
         }
-        for (what, n) in [("store_failures", self.failures), ("unread", self.duties.dropped())] {
+        for (what, n) in [("store_failures", self.failures), ("unread", self.duties.dropped_messages())] {
             let _ = writeln!(out, "edge_gw.duties.{what}:{n}|c");
         }
     }
@@ -360,9 +364,9 @@
 fn standing_name(standing: Option<Standing>) -> &'static str {
     match standing {
         None => "down",
-        Some(Standing::Blank) => "blank",
-        Some(Standing::Lost) => "lost",
+        Some(Standing::NoState) => "blank",
+        Some(Standing::StateLost) => "lost",
         Some(Standing::OldCopy) => "old copy",
-        Some(Standing::Votes) => "votes",
+        Some(Standing::Voting) => "votes",
     }
 }
