--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -1,164 +1,197 @@
-//! Admission: whether a request is sent, waits, or is refused, and its one final answer.
+//! Admission: whether a request is sent, waits or is refused, and its single final answer.
 
 use super::*;
 
-pub(super) const QUOTA_LEAST: f64 = 2.0; // in requests
-/// In time with this multiple of the expected time left: 4 in 5 exponential ones.
-pub(super) const IN_TIME: f64 = 1.5;
-const HOLD_MOST: f64 = 0.5; // part of its aim that a request may wait here: the rest is for being served
+/// The number of requests that a tenant can always save up, however small its quota is.
+pub(super) const MIN_QUOTA_REQUESTS: f64 = 2.0;
+/// A request is expected to be in time if at least this multiple of its expected time is left: of
+/// exponentially distributed times, 4 in 5 are shorter.
+pub(super) const IN_TIME_FACTOR: f64 = 1.5;
+/// The share of its aim that a request may wait here; the rest is left for serving it.
+const MAX_WAIT_AIM_SHARE: f64 = 0.5;
 
 impl Balancer {
+    /// Takes in a new request and decides on it.
     pub(super) fn admit(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let class = new.class.0 as usize;
-        if class >= self.means.len() {
+        if class >= self.mean_times.len() {
             return actions.push(Action::Fail { id: new.id });
         }
-        let over_share = match new.tenant.and_then(|t| self.quota.get_mut(t.0 as usize)) {
+        let over_quota = match new.tenant.and_then(|t| self.quota_tokens.get_mut(t.0 as usize)) {
             Some(tokens) => std::mem::replace(tokens, (*tokens - 1.0).max(-1.0)) < 1.0,
             None => false,
         };
-        let most = RETRY_LEAST.max(RETRY_RATIO * RETRY_PERIODS * self.st.nr);
-        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(most);
-        // A repeat given less time than tries are given has met the end of its client's total: that dates
-        // the first try, and with it the aim that counts.
-        let (left, patience) = (new.expires - self.now, self.patience[class]);
-        self.patience[class] = patience.max(left);
-        let dated = new.repeat && left + PERIOD < patience;
-        let age = if dated { self.set.classes[class].deadline - left } else { Micros(0) };
-        let nobody = self.sides.len() - 1;
+        let max_tokens = MIN_RETRY_TOKENS.max(RETRY_RATIO * RETRY_SAVED_PERIODS * self.stats.nr);
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(max_tokens);
+        // If a repeat is given less time than a try is usually given, its time-out is cut short by the end of
+        // the client's total time. This tells when the first try was sent, from which the aim counts.
+        let (left, longest_try) = (new.expires - self.now, self.longest_tries[class]);
+        self.longest_tries[class] = longest_try.max(left);
+        let is_cut_short = new.repeat && left + PERIOD < longest_try;
+        let age = if is_cut_short { self.settings.classes[class].deadline - left } else { Micros(0) };
+        let no_tenant = self.failure_shares.len() - 1;
         let hint = new.hint.filter(|h| h.0 > 0).map(|h| h.0 as f64);
         let request = Request {
             class,
-            tenant: new.tenant.map_or(nobody, |t| self.means.len() + t.0 as usize).min(nobody),
-            over_share,
-            repeat: new.repeat,
-            came: self.now - age.max(Micros(0)),
+            tenant_index: new
+                .tenant
+                .map_or(no_tenant, |t| self.mean_times.len() + t.0 as usize)
+                .min(no_tenant),
+            over_quota,
+            is_repeat: new.repeat,
+            arrived_at: self.now - age.max(Micros(0)),
             expires: new.expires,
-            price: hint.or(self.means[class]).unwrap_or(FIRST_PRICE),
+            price: hint.or(self.mean_times[class]).unwrap_or(FIRST_PRICE_US),
             attempts: Vec::new(),
-            over: false,
-            key: new.key.filter(|_| self.set.classes[class].keep_order),
+            is_finished: false,
+            key: new.key.filter(|_| self.settings.classes[class].keep_order),
         };
         if let Some(key) = request.key {
-            self.turns.entry(key).or_default().queue.push_back(new.id);
+            self.key_queues.entry(key).or_default().requests.push_back(new.id);
         }
-        let expires = self.give_up(&request);
+        let expires = self.give_up_at(&request);
         self.requests.insert(new.id, Request { expires, ..request });
-        self.place(new.id, actions);
+        self.dispatch(new.id, actions);
     }
 
-    /// Sends the request, holds it, or ends it. One that has been nowhere waits for a list.
-    pub(super) fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let retry = self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty());
+    /// Sends the request, makes it wait, or answers it finally. A request that has not been sent yet waits,
+    /// even while no server may take it: a list may bring one.
+    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let retry = self.requests.get(&id).is_some_and(|request| !request.attempts.is_empty());
         match self.pick(id, retry) {
-            Pick::To(server) => return self.send(id, server, actions),
-            Pick::Nobody if retry => return self.finish(id, actions),
-            _ if self.requests.get(&id).is_none_or(|r| r.expires <= self.now) => {
-                return self.finish(id, actions)
+            PickResult::Server(server) => return self.send(id, server, actions),
+            PickResult::NoServer if retry => return self.refuse_or_fail(id, actions),
+            _ if self.requests.get(&id).is_none_or(|request| request.expires <= self.now) => {
+                return self.refuse_or_fail(id, actions)
             }
-            _ => self.held.push(id),
+            _ => self.waiting.push(id),
         }
-        if let Some(r) = self.requests.get(&id) {
-            actions.push(Action::Timer { at: r.expires, token: TICK + 1 });
+        if let Some(request) = self.requests.get(&id) {
+            actions.push(Action::Timer { at: request.expires, token: PERIOD_TIMER + 1 });
         }
     }
 
-    /// An answer worth nothing past the aim is not waited for past it: the request is refused just inside:
-    /// its client knows, servers below drop it. Harm: a client may repeat it. Lower tiers go by the caller.
-    pub(super) fn give_up(&self, r: &Request) -> Micros {
-        match self.set.tier > 0 || self.set.classes[r.class].late_worth > 0.0 {
-            true => r.expires,
-            false => self.aim_at(r) - Micros(2 * self.set.resolution.0),
+    /// Returns the time at which a request is given up. Where an answer after the aim is worth nothing, the
+    /// request is refused just before its aim, so that the client knows and the servers below drop it.
+    /// Drawback: the client may repeat it. Instances of lower tiers wait for as long as their caller does.
+    pub(super) fn give_up_at(&self, request: &Request) -> Micros {
+        match self.settings.tier > 0 || self.settings.classes[request.class].late_worth > 0.0 {
+            true => request.expires,
+            false => self.aim_time(request) - Micros(2 * self.settings.resolution.0),
         }
     }
 
-    /// What a request is worth if sent now: late answers earn less, past the deadline nothing does.
-    pub(super) fn value(&self, id: RequestId, r: &Request, in_time: f64) -> f64 {
-        let class = &self.set.classes[r.class];
-        // Those that share its key run before it, one at a time; the one that has the turn is on its way.
-        let turn = r.key.and_then(|k| self.turns.get(&k)?.queue.iter().position(|&q| q == id));
-        let expected = in_time * self.line.at(r.price) * turn.unwrap_or(0).max(1) as f64;
+    /// Returns what a request is worth if it is sent now and takes this multiple of its expected time. Late
+    /// answers earn less, and answers after the deadline nothing.
+    pub(super) fn value(&self, id: RequestId, request: &Request, time_factor: f64) -> f64 {
+        let class = &self.settings.classes[request.class];
+        // The requests before it in its key's queue run first, one at a time; the first of them is already on
+        // its way.
+        let position =
+            request.key.and_then(|k| self.key_queues.get(&k)?.requests.iter().position(|&q| q == id));
+        let expected =
+            time_factor * self.time_estimate.served_time(request.price) * position.unwrap_or(0).max(1) as f64;
         let expected = Micros(expected as i64);
-        let share = if r.over_share { self.set.over_share_worth } else { 1.0 };
-        let per_work = if self.set.worth_by_work { 1.0 } else { self.st.cr / r.price.max(1.0) };
-        let in_time = match self.now + expected {
-            // Below the first tier the caller has work sunk in this: it is given up at its deadline only.
-            t if t <= self.aim_at(r) || self.set.tier > 0 => 1.0,
-            t if t <= r.expires => class.late_worth,
+        let share = if request.over_quota { self.settings.over_share_worth } else { 1.0 };
+        let per_work = if self.settings.worth_by_work { 1.0 } else { self.stats.cr / request.price.max(1.0) };
+        let time_share = match self.now + expected {
+            // Below the first tier, the caller has already spent work on the request, so it is given up only
+            // at its deadline.
+            t if t <= self.aim_time(request) || self.settings.tier > 0 => 1.0,
+            t if t <= request.expires => class.late_worth,
             _ => 0.0,
         };
-        class.worth * share * per_work * in_time
+        class.worth * share * per_work * time_share
     }
 
-    pub(super) fn aim_at(&self, r: &Request) -> Micros {
-        let class = &self.set.classes[r.class];
-        (r.came + class.aim + Micros((class.aim_stretch * r.price) as i64)).min(r.expires)
+    /// Returns the time until which an answer earns the full worth.
+    pub(super) fn aim_time(&self, request: &Request) -> Micros {
+        let class = &self.settings.classes[request.class];
+        (request.arrived_at + class.aim + Micros((class.aim_stretch * request.price) as i64))
+            .min(request.expires)
     }
 
-    /// Overload. Sends held requests while there is room, the most worth per work first, then by aim. Refuses
-    /// at once what can't be answered in time: its client is free to go. Harm: a wrong estimate.
-    pub(super) fn drain_held(&mut self, actions: &mut Vec<Action>) {
+    /// Sends waiting requests while the concurrency limit has room: those with the most worth per work first,
+    /// then those whose aim ends first. Under overload this refuses at once the requests that can't be
+    /// answered in time, so that their clients need not wait. Drawback: the estimate may be wrong.
+    pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         let mut waiting: Vec<(f64, Micros, RequestId)> = Vec::new();
-        for id in std::mem::take(&mut self.held) {
-            match self.requests.get(&id).map(|r| (r, self.value(id, r, IN_TIME))).filter(|(r, _)| !r.over) {
-                Some((r, v)) if r.expires > self.now && v > 0.0 && !self.held_for_long(r) => {
-                    waiting.push((v, self.aim_at(r), id))
+        for id in std::mem::take(&mut self.waiting) {
+            match self
+                .requests
+                .get(&id)
+                .map(|request| (request, self.value(id, request, IN_TIME_FACTOR)))
+                .filter(|(request, _)| !request.is_finished)
+            {
+                Some((request, value))
+                    if request.expires > self.now && value > 0.0 && !self.has_waited_too_long(request) =>
+                {
+                    waiting.push((value, self.aim_time(request), id))
                 }
-                Some(_) => self.finish(id, actions),
+                Some(_) => self.refuse_or_fail(id, actions),
                 None => {}
             }
         }
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, _, id) in waiting {
             match self.pick(id, false) {
-                Pick::To(server) => self.send(id, server, actions),
-                // Nothing may be sent for it any more.
-                Pick::Nobody if self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty()) => {
-                    self.finish(id, actions);
+                PickResult::Server(server) => self.send(id, server, actions),
+                // The request has been sent before, and no further attempt of it is allowed.
+                PickResult::NoServer
+                    if self.requests.get(&id).is_some_and(|request| !request.attempts.is_empty()) =>
+                {
+                    self.refuse_or_fail(id, actions);
                 }
-                _ => self.held.push(id),
+                _ => self.waiting.push(id),
             }
         }
     }
 
-    /// Whether a request has waited here for so long that it is told to go: its client's connections are few,
-    /// and what has used up its aim in a queue is served late. Lower tiers go by the caller.
-    pub(super) fn held_for_long(&self, r: &Request) -> bool {
-        let aim = (self.aim_at(r) - r.came).0 as f64;
-        self.set.tier == 0 && (self.now - r.came).0 as f64 >= HOLD_MOST * aim
+    /// Returns whether a request has waited here for so long that it is refused: its client has few
+    /// connections, and a request that has used up its aim in a queue is served late. Instances of lower
+    /// tiers wait for as long as their caller does.
+    pub(super) fn has_waited_too_long(&self, request: &Request) -> bool {
+        let aim = (self.aim_time(request) - request.arrived_at).0 as f64;
+        self.settings.tier == 0 && (self.now - request.arrived_at).0 as f64 >= MAX_WAIT_AIM_SHARE * aim
     }
 
-    /// Rule 1 and 2: the one final answer. A refusal says that a repeat does no harm.
-    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.over) else { return };
-        let harmless = match self.set.classes[r.class].effect {
+    /// Rules 1 and 2: gives the request its single final answer. A refusal states that a repeat is harmless;
+    /// where that is not certain, the request fails instead.
+    pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.is_finished) else { return };
+        let harmless = match self.settings.classes[request.class].effect {
             Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
-            _ => r.attempts.iter().all(|a| !a.may_have_run),
+            _ => request.attempts.iter().all(|a| !a.may_have_run),
         };
-        // A client told only now that its aim has passed has nothing to gain by a quick repeat.
-        let wait = if self.now >= r.expires { self.set.max_retry_after } else { PERIOD };
-        let wait = if self.set.retry_after { wait.min(self.set.max_retry_after) } else { Micros(0) };
+        // A request that is answered only after its aim gains nothing by a quick repeat.
+        let wait = if self.now >= request.expires { self.settings.max_retry_after } else { PERIOD };
+        let wait =
+            if self.settings.retry_after { wait.min(self.settings.max_retry_after) } else { Micros(0) };
         actions.push(if harmless { Action::Refuse { id, retry_after: wait } } else { Action::Fail { id } });
-        self.over(id, actions);
+        self.close_request(id, actions);
     }
 
-    /// The request has had its answer, or its client is gone: nothing goes out for it any more.
-    pub(super) fn over(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        r.over = true;
-        for (n, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.out && self.set.may_cancel) {
-            actions.push(Action::Cancel { id, attempt: n as u32 });
+    /// Ends a request that has its final answer, or whose client has disconnected: no further attempt is
+    /// sent, and those in flight are cancelled where that is allowed.
+    pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_finished = true;
+        for (number, _) in
+            request.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && self.settings.may_cancel)
+        {
+            actions.push(Action::Cancel { id, attempt: number as u32 });
         }
-        if r.attempts.iter().all(|a| !a.out) {
-            self.forget(id);
+        if request.attempts.iter().all(|a| !a.in_flight) {
+            self.remove_request(id);
         }
     }
 
-    /// Nothing is out for it any more: the turn passes on.
-    pub(super) fn forget(&mut self, id: RequestId) {
-        let key = self.requests.remove(&id).and_then(|r| r.key);
-        if let Some(turn) = key.and_then(|k| self.turns.get_mut(&k)) {
-            turn.queue.retain(|q| *q != id);
+    /// Removes a finished request that has no attempt in flight, so that the next request with its key may be
+    /// sent.
+    pub(super) fn remove_request(&mut self, id: RequestId) {
+        let key = self.requests.remove(&id).and_then(|request| request.key);
+        if let Some(queue) = key.and_then(|k| self.key_queues.get_mut(&k)) {
+            queue.requests.retain(|q| *q != id);
         }
     }
 }
