--- a/crates/duties/src/voter.rs
+++ b/crates/duties/src/voter.rs
@@ -17,7 +17,7 @@
 const MAX_REQUEST_DELAY: Micros = Micros(60_000_000);
 /// How long an operator's request to move a duty stays valid.
 const MOVE_REQUEST_LIFETIME: Micros = Micros(3_000_000);
-/// The maximum number of assignments proposed in one tick; that many fit into one datagram.
+/// The maximum number of assignments proposed in one tick, so that they fit into one datagram.
 const MAX_PROPOSALS_PER_TICK: usize = 24;
 /// The maximum number of lives to which a voter makes promises, which is the largest size of a fleet.
 const MAX_LIVES: usize = 4096;
--- a/crates/duties/tests/faults.rs
+++ b/crates/duties/tests/faults.rs
@@ -413,8 +413,8 @@
             net.resume(i);
         }
     }
-    // A voter that could not store may wait for its next attempt as long as it has already waited in all, since
-    // the wait doubles after each failure.
+    // A voter that could not store may wait for its next attempt as long as it has already waited in all,
+    // since the wait doubles after each failure.
     let took = net.run_until(60 * SECOND, Net::all_owned).unwrap_or_else(|| {
         let states: Vec<String> = net
             .nodes
--- a/crates/duties/tests/net/mod.rs
+++ b/crates/duties/tests/net/mod.rs
@@ -479,7 +479,7 @@
         all
     }
 
-    /// Returns the members first_owner processes are running.
+    /// Returns the members whose processes are running.
     pub fn alive(&self) -> BTreeSet<usize> {
         (0..self.nodes.len()).filter(|&member| self.nodes[member].duties.is_some()).collect()
     }
