--- a/crates/config/src/file/check.rs
+++ b/crates/config/src/file/check.rs
@@ -72,11 +72,11 @@
     pub name: String,
     /// The address to listen on.
     pub address: SocketAddr,
-    /// Its share of the connections.
+    /// The listener's share of the connections.
     pub connections: Share,
-    /// Its share of the requests in flight.
+    /// The listener's share of the requests in flight.
     pub requests: Share,
-    /// Its share of the memory for unfinished requests, in bytes.
+    /// The listener's share of the memory for unfinished requests, in bytes.
     pub memory_bytes: Share,
 }
 
@@ -108,11 +108,11 @@
     /// A connection between requests is closed after this time, which is two thirds of the nodes' own
     /// timeout.
     pub idle_timeout: Duration,
-    /// Its share of the requests in flight.
+    /// The pool's share of the requests in flight.
     pub requests: Share,
-    /// Its share of the connections.
+    /// The pool's share of the connections.
     pub connections: Share,
-    /// Its share of the memory for unfinished responses, in bytes.
+    /// The pool's share of the memory for unfinished responses, in bytes.
     pub memory_bytes: Share,
     /// When a failover list leaves this pool, and how it returns.
     pub failover: FailoverRules,
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::file::OperatorConfig;
 use crate::platform::Config;
-use garnettally_model::{Micros, NOTIFIED_AFTER};
+use garnettally_model::{Micros, CHANGE_ASSUMED_KNOWN_AFTER};
 use std::time::Duration;
 
 /// The limits of one process.
@@ -242,12 +242,12 @@
 const DISCOVERY_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Computes after how long without data a watch is abandoned. Changes that a stalled watch misses are treated
-/// as known [`NOTIFIED_AFTER`] after its last data, and are binding once the grace period is over. Until then
-/// there has to be time for a new call, for a call before it whose connection is never established, for the
-/// module's pauses before both (at most 0.5 s each), and 1 s for the response.
+/// as known [`CHANGE_ASSUMED_KNOWN_AFTER`] after its last data, and are binding once the grace period is
+/// over. Until then there has to be time for a new call, for a call before it whose connection is never
+/// established, for the module's pauses before both (at most 0.5 s each), and 1 s for the response.
 fn discovery_idle_timeout(grace: Duration) -> Duration {
     const PAUSES_AND_RESPONSE: Duration = Duration::from_secs(2);
-    let left = NOTIFIED_AFTER + grace - PAUSES_AND_RESPONSE - DISCOVERY_CONNECT_TIMEOUT;
+    let left = CHANGE_ASSUMED_KNOWN_AFTER + grace - PAUSES_AND_RESPONSE - DISCOVERY_CONNECT_TIMEOUT;
     // The lower bound tolerates an empty line that arrives a little late.
     left.clamp(Duration::from_millis(2500), Duration::from_millis(4500))
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -454,7 +454,7 @@
     const MAX_PROCESSING_DELAY: Micros = Micros(150_000);
     let grace = Micros(settings.contract.drain_grace_us.unwrap_or(0));
     let connecting = Micros(settings.limits.dial_timeout_us.unwrap_or(0));
-    let known_after = Micros(NOTIFIED_AFTER.as_micros() as i64);
+    let known_after = Micros(CHANGE_ASSUMED_KNOWN_AFTER.as_micros() as i64);
     known_after + (grace - MAX_PROCESSING_DELAY - connecting).min(Micros(0))
 }
 
--- a/crates/decisions/src/balancer/admission.rs
+++ b/crates/decisions/src/balancer/admission.rs
@@ -155,15 +155,16 @@
         self.settings.tier == 0 && (self.now - request.arrived_at).0 as f64 >= MAX_WAIT_AIM_SHARE * aim
     }
 
-    /// Rules 1 and 2: gives the request its single final answer. A refusal states that a repeat is harmless;
-    /// where that is not certain, the request fails instead.
+    /// Gives the request its final answer, unless it has one: a request gets only one (rule 1). A refusal
+    /// states that a repeat is harmless; where that is not certain, the request fails instead (rule 2: a
+    /// request with effects is repeated only where that is safe).
     pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_finished) else { return };
         let harmless = match self.settings.classes[request.class].effect {
             Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
             _ => request.attempts.iter().all(|a| !a.may_have_run),
         };
-        // A request that is answered only after its aim gains nothing by a quick repeat.
+        // A client that is answered only when its request has expired gains nothing by a quick repeat.
         let wait = if self.now >= request.expires { self.settings.max_retry_after } else { PERIOD };
         let wait =
             if self.settings.retry_after { wait.min(self.settings.max_retry_after) } else { Micros(0) };
--- a/crates/decisions/src/balancer/board.rs
+++ b/crates/decisions/src/balancer/board.rs
@@ -5,7 +5,8 @@
 
 /// The length of a slot.
 pub(super) const SLOT: Micros = Micros(50_000);
-/// max_slots of the paper: 10 s, as in its example, which is longer than any call is worth waiting for.
+/// max_slots of the paper: the number of slots of a board. They cover 10 s, as in the paper's example, which
+/// is longer than any call is worth waiting for.
 const SLOTS: i64 = 200;
 
 impl Board {
--- a/crates/decisions/src/balancer/concurrency_limit.rs
+++ b/crates/decisions/src/balancer/concurrency_limit.rs
@@ -22,8 +22,8 @@
 pub(super) const FIRST_LIMIT_PER_SERVER: f64 = 6.0;
 /// The room for random variation in the first limit, in square roots of the instance's share of it.
 pub(super) const LIMIT_CHANCE_ROOTS: f64 = 2.0;
-/// The least concurrency limit, in calls per server over all instances. With fewer, servers that wait for
-/// others would be idle.
+/// The least concurrency limit, in calls per server over all instances. With fewer, servers whose
+/// calls wait for other servers would be idle.
 const MIN_LIMIT_PER_SERVER: f64 = 4.0;
 /// The share of the limit by which it shrinks each period, for each multiple of [`CONGESTED`].
 const LIMIT_STEP_DOWN: f64 = 0.07;
--- a/crates/decisions/src/balancer/list_freshness.rs
+++ b/crates/decisions/src/balancer/list_freshness.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// How long a server that accepted a call counts as likely to stay. An instance may lack changes for 6 s; the
-/// wait for a connection is subtracted from that.
+/// How long a server that accepted a call counts as likely to stay. Changes may reach an instance 6 s late;
+/// the time that a connection may take is subtracted from that.
 const CONFIRMATION_LASTS: Micros = Micros(5_000_000);
 /// A time before any event, far enough from the least value that durations can be subtracted.
 pub(super) const NEVER: Micros = Micros(i64::MIN / 2);
@@ -33,14 +33,15 @@
         self.subscription.as_ref().is_none_or(|s| s.is_open())
     }
 
-    /// Returns how far the list may be relied on; `None`: no watch has to be requested for it.
-    pub fn list_standing(&self, now: Micros) -> Option<ListReport> {
+    /// Returns the freshness of the list and the time of the next request for a watch; `None`: discovery
+    /// pushes its lists, and no watch has to be requested.
+    pub fn list_report(&self, now: Micros) -> Option<ListReport> {
         self.subscription.as_ref().map(|s| s.list_report(self.now.max(now)))
     }
 
     /// Returns whether the list may lack changes that already have to be obeyed. Then no request is sent at
-    /// all, since a server that has left may still answer. Drawback: requests wait, and are refused, until
-    /// there is a watch again.
+    /// all, since a server that is leaving may well go on answering. Drawback: requests wait, and are
+    /// refused, until there is a watch again.
     pub(super) fn list_is_stale(&self) -> bool {
         self.subscription.as_ref().is_some_and(|s| s.is_stale(self.now))
     }
--- a/crates/decisions/src/balancer/membership.rs
+++ b/crates/decisions/src/balancer/membership.rs
@@ -9,7 +9,7 @@
 /// each server is called again soon.
 const SUBSET_TIME_US: f64 = 3e6;
 /// Where removals are advisory, they are not believed while more than one in this many ready servers is
-/// doubted.
+/// doubted, that is, removed by a list and without a good answer since.
 const MAX_DOUBTED_ONE_IN: usize = 6;
 
 impl Balancer {
@@ -45,9 +45,10 @@
             for (class, count) in healthy.iter_mut().enumerate() {
                 if *count < wanted_size && is_allowed(&self.settings.classes[class], &server.entry) {
                     is_wanted = true;
-                    let keys = [server.health.first(), server.health.get(class + 1)];
-                    *count +=
-                        usize::from(keys.into_iter().flatten().all(|record| record.ejected_until.is_none()));
+                    let records = [server.health.first(), server.health.get(class + 1)];
+                    *count += usize::from(
+                        records.into_iter().flatten().all(|record| record.ejected_until.is_none()),
+                    );
                 }
             }
             if is_wanted {
@@ -116,8 +117,8 @@
         self.ring.extend(ready.map(|server| (server.entry.ring_key, server.entry.server.0)));
         self.ring.sort_unstable();
         // A list that removes a few servers is believed. One that removes many may be wrong, and the others
-        // could not bear the load, so outlier ejection has to find out which servers are gone. Drawback: each
-        // caller calls each dead server once.
+        // could not bear the load, so outlier ejection has to find out which servers have left. Drawback:
+        // each caller calls each dead server once.
         let doubted = self.servers.iter().filter(|server| server.is_doubted).count();
         self.believes_removals = doubted * MAX_DOUBTED_ONE_IN <= self.ring.len();
         self.pools.iter_mut().for_each(|pool| (pool.ready_servers, pool.mean_units) = (0.0, 0.0));
--- a/crates/decisions/src/balancer/outlier_ejection.rs
+++ b/crates/decisions/src/balancer/outlier_ejection.rs
@@ -48,8 +48,8 @@
     /// class, or it is due for a single probe. A request that is safe to repeat makes the probe. If none has
     /// come for as long as the back-off again, any request may, since the server has to be able to come back.
     pub(super) fn is_eligible(&self, server: &Server, class: usize) -> bool {
-        let keys = [server.health.first(), server.health.get(class + 1)];
-        keys.into_iter().flatten().all(|record| match record.ejected_until {
+        let records = [server.health.first(), server.health.get(class + 1)];
+        records.into_iter().flatten().all(|record| match record.ejected_until {
             None => true,
             Some(until) => {
                 let is_safe = matches!(self.settings.classes[class].effect, Effect::Safe);
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Returns the first back-off. It is not shorter than the time in which this instance sends as many calls
-    /// as its subset has servers, up to a bound.
+    /// Returns the first back-off. Up to a bound, it is not shorter than the time in which this instance
+    /// sends as many calls as its subset has servers, since it calls each server only about that often.
     pub(super) fn first_back_off(&self) -> Micros {
         let round = self.subset.len() as f64 / self.stats.nr.max(0.01) * PERIOD.0 as f64;
         FIRST_EJECTION.max(Micros(round as i64)).min(Micros(FIRST_EJECTION.0 << MAX_EJECTION_DOUBLINGS))
@@ -174,9 +174,10 @@
 
     /// Counts attempts that are far past their expected time as bad outcomes of their servers, if the server
     /// has answered nothing since the attempt was sent: a server that hangs shows in nothing else, and one
-    /// that still answers is not affected. Where rule 2 and the retry budget allow it, such attempts are
-    /// cancelled. This runs on timer events only, once per period: by then every outcome that had arrived has
-    /// been handled, one after the other. Drawback: a call with much work ejects a good server for a while.
+    /// that still answers is not affected. Such an attempt is cancelled if its request may be sent again
+    /// (rule 2: one with effects only where that is safe) and the retry budget allows it. This runs on timer
+    /// events only, once per period: by then every outcome that had arrived has been handled, one after the
+    /// other. Drawback: a call with much work ejects a good server for a while.
     pub(super) fn check_overdue(&mut self, actions: &mut Vec<Action>) {
         if !std::mem::take(&mut self.overdue_check_due) {
             return;
@@ -264,16 +265,17 @@
             let mean_of_peers = (sums[key] - bad) / (ready - 1).max(1) as f64;
             // A server that is already ejected for a class does not count again; otherwise, among few
             // servers, it could never be ejected as a whole.
-            let is_first = self.servers[index].health.iter().all(|record| record.ejected_until.is_none());
-            let is_full = is_first && ejected >= (ready / MAX_EJECTED_ONE_IN).max(1);
-            if ready < 2 || is_full || bad < EJECT_SCORE + 2.0 * mean_of_peers {
+            let is_newly_ejected =
+                self.servers[index].health.iter().all(|record| record.ejected_until.is_none());
+            let is_at_threshold = is_newly_ejected && ejected >= (ready / MAX_EJECTED_ONE_IN).max(1);
+            if ready < 2 || is_at_threshold || bad < EJECT_SCORE + 2.0 * mean_of_peers {
                 continue;
             }
             let last_bad_outcome = self.servers[index].last_bad_outcome;
             let record = &mut self.servers[index].health[key];
             (record.ejected_until, record.ejections) = (Some(self.now + back_off), record.ejections + 1);
             record.by_own_score = record.outlier_score >= EJECT_SCORE;
-            ejected += usize::from(is_first);
+            ejected += usize::from(is_newly_ejected);
             self.subset_is_stale = true;
             if record.ejections == 1 {
                 let what = if key == 0 { String::new() } else { format!(" for class {}", key - 1) };
--- a/crates/decisions/src/balancer/request_faults.rs
+++ b/crates/decisions/src/balancer/request_faults.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The time constant, in microseconds, with which the means of failures and congestion forget.
+/// The time constant, in microseconds, with which old values fade from the means of failures and congestion.
 const SIGNAL_MEMORY_US: f64 = 3e6;
 /// The largest weight of one call in these means.
 const MAX_SIGNAL_WEIGHT: f64 = 0.5;
--- a/crates/decisions/src/balancer/selection.rs
+++ b/crates/decisions/src/balancer/selection.rs
@@ -32,7 +32,8 @@
         {
             return PickResult::NoServer;
         }
-        // Rule 3: nothing is sent by a list that may lack changes which already have to be obeyed.
+        // Rule 3 (nothing is sent to a server that is known to be leaving): nothing at all is sent while the
+        // list may lack changes that already have to be obeyed.
         if self.list_is_stale() {
             return PickResult::Wait;
         }
@@ -83,7 +84,7 @@
                 }
                 _ => true,
             };
-            // Rule 5 applies to every attempt.
+            // Rule 5, for retries as well: a class stays within its kinds and zones.
             if server.entry.state != ListedState::Ready
                 || !is_in_scope
                 || !is_allowed(&self.settings.classes[request.class], &server.entry)
@@ -91,9 +92,10 @@
                 continue;
             }
             let rank = match self.is_eligible(server, request.class) && self.is_likely_to_stay(server) {
-                // The server declined a call or was unreachable, and may be leaving.
+                // The server declined the last call or was unreachable, and may be leaving.
                 false if server.confirmed_at == NEVER && !self.is_watched() => 3,
-                // Such a server is used only in panic: none is left that is healthy and likely to stay.
+                // A server that is ejected, or may be leaving, is used only in panic: no server is left that
+                // is healthy and likely to stay.
                 false => 2,
                 true if request.attempts.iter().any(|attempt| attempt.server == server.entry.server) => 1,
                 true => 0,
--- a/crates/decisions/src/balancer/slow_start.rs
+++ b/crates/decisions/src/balancer/slow_start.rs
@@ -15,11 +15,11 @@
 }
 
 impl Balancer {
-    /// Fills the buckets of cold servers for the periods that have ended. A cold server gets the share of its
-    /// ramp of most of what this instance sends to a warm peer. Each bucket starts with a random debt, so
-    /// that all instances together keep to the budget. The number of cores of a server does not limit the
-    /// rate, since it is not known how much of a core a price stands for: with such a limit, new servers were
-    /// idle while the old ones were overloaded.
+    /// Fills the buckets of cold servers for the periods that have ended. A cold server gets most of the work
+    /// that this instance sends to a warm peer ([`COLD_RATE_SHARE`]), times the share of its capacity that it
+    /// has reached. Each bucket starts with a random debt, so that all instances together keep to the budget.
+    /// The number of cores of a server does not limit the rate, since it is not known how much of a core a
+    /// price stands for: with such a limit, new servers were idle while the old ones were overloaded.
     pub(super) fn fill_cold_buckets(&mut self, ended_periods: f64) {
         let rate = COLD_RATE_SHARE * self.stats.raw / self.subset.len().max(1) as f64;
         let mean_price = self.stats.cr / self.stats.gain;
--- a/crates/decisions/src/facade.rs
+++ b/crates/decisions/src/facade.rs
@@ -1,6 +1,7 @@
 //! The decision module as network code uses it: [`pick`](Decisions::pick) chooses a server for a request,
 //! [`report`](Decisions::report) takes what has happened since, and [`tick`](Decisions::tick) has to be
-//! called when [`next_tick`](Decisions::next_tick) is due. Each returns what is to be done now.
+//! called when [`next_tick`](Decisions::next_tick) is due. Each returns what is to be done now. Network code
+//! uses no other types of the decision module than these.
 
 use crate::balancer::{Balancer, EJECT_SCORE};
 use crate::state::{HealthRecord, InFlightCall};
@@ -211,8 +212,9 @@
                 let form = if list.whole { ListForm::Full } else { ListForm::Delta };
                 return self.handle_list(now, form, &list);
             }
-            Report::WatchFailed { incomplete_for: silent, failure } => {
-                Event::WatchFailed { complete_until: Micros(now.0 - silent.as_micros() as i64), failure }
+            Report::WatchFailed { incomplete_for, failure } => {
+                let complete_until = Micros(now.0 - incomplete_for.as_micros() as i64);
+                Event::WatchFailed { complete_until, failure }
             }
             Report::DiscoveryAnswerStarted => Event::DiscoveryAnswerStarted,
             Report::DiscoveryMoved => Event::DiscoveryMoved,
@@ -221,9 +223,10 @@
         self.handle(now, event)
     }
 
-    /// Returns how far the list of upstreams may be relied on; `None`: no watch has to be requested for it.
-    pub fn list_standing(&self, now: Micros) -> Option<ListReport> {
-        self.balancer.list_standing(now)
+    /// Returns the freshness of the list of upstreams and the time of the next request for a watch; `None`:
+    /// discovery pushes its lists, and no watch has to be requested.
+    pub fn list_report(&self, now: Micros) -> Option<ListReport> {
+        self.balancer.list_report(now)
     }
 
     /// Takes over the watch on discovery, and what is known of its list, from another balancer.
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -230,7 +230,8 @@
 pub struct KeyQueue {
     /// The requests in the order of their arrival. Only the first may be sent.
     pub requests: VecDeque<RequestId>,
-    /// Until when the next request is held back after an attempt that may still be running.
+    /// Until when the key is paused after an attempt that may still be running: the next request is not sent
+    /// before.
     pub paused_until: Micros,
 }
 
--- a/crates/decisions/tests/four_rules.rs
+++ b/crates/decisions/tests/four_rules.rs
@@ -1,9 +1,10 @@
-//! A property test of the six safety rules: random legal events from fixed seeds, and a separate model that
+//! A property test of the safety rules: random legal events from fixed seeds, and a separate model that
 //! records every request and attempt and checks each action. Rule 1: each request has one answer, in time.
 //! Rule 2: a request with effects is repeated only where that is safe. Rule 3: nothing is sent to a server
 //! that is known to be leaving. Rule 5: a class that is bound to machine kinds or zones stays within them.
 //! Rule 6: requests with the same key run one at a time, in the order of their arrival. Attempts of one
-//! request run in parallel only where the settings allow it.
+//! request run in parallel only where the settings allow it. Rule 4, that cold servers are not overloaded, is
+//! tested in `ramp.rs` and `cold_servers.rs`.
 
 use garnettally_decisions::*;
 use std::collections::BTreeMap;
@@ -18,10 +19,10 @@
     sent_at: Micros,
     times_out_at: Micros,
     in_flight: bool,
-    /// The server may have executed the request.
+    /// Whether the server may have executed the request.
     may_have_run: bool,
-    /// The time at which it ended by a time-out, a reset or a cancel, and may still run: the pause of its key
-    /// starts then.
+    /// When the attempt ended by a time-out, a reset or a cancel, after which it may still run: the pause of
+    /// the request's key starts at that time.
     ended_unsure_at: Option<Micros>,
 }
 
@@ -30,7 +31,7 @@
     class: usize,
     expires: Micros,
     attempts: Vec<Attempt>,
-    /// It has been answered, or its client has disconnected.
+    /// Whether the request has been answered, or its client has disconnected.
     ended: bool,
     /// The key of the request, where its class keeps the order of keys.
     key: Option<KeyId>,
--- a/crates/decisions/tests/late_answers.rs
+++ b/crates/decisions/tests/late_answers.rs
@@ -1,11 +1,11 @@
 //! Tests of a process on a fully loaded machine whose servers are healthy, where the process or the servers
 //! are delayed by some milliseconds. In drills under load members ejected healthy servers, each time because
 //! of two or three answers that came 0.8 to 14 ms after their request where 0.1 to 0.7 ms were expected,
-//! while the aim of the class was 1 s: `server 2 ejected, outlier score 0.50: Ok after 14.0 ms, 0.7 expected,
-//! 0.6 of them held up here`. An answer counted as entirely bad at 12 times its expected time, however little
-//! the delay cost the caller and whoever caused it. The same fault showed in three other places: in time-outs
-//! of requests that had little time left, in the concurrency limit, and where an attempt became overdue
-//! before its answer, which had already been read, was reported.
+//! while the aim of the class was 1 s: `server 2 ejected, outlier score 0.50: Ok after 14.0 ms, 0.7 ms
+//! expected, 0.6 ms delayed in this process`. An answer counted as entirely bad at 12 times its expected
+//! time, however little the delay cost the caller and whoever caused it. The same fault showed in three other
+//! places: in time-outs of requests that had little time left, in the concurrency limit, and where an attempt
+//! became overdue before its answer, which had already been read, was reported.
 
 mod support;
 
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -56,7 +56,7 @@
     new_instances: usize,
     /// The load before the burst, as a share of the capacity of all upstreams.
     load: f64,
-    /// Requests carry a cost hint.
+    /// Whether requests carry a cost hint.
     hints: bool,
     /// The speed of the cold upstreams, as a share of the others' speed.
     cold_speed: f64,
--- a/crates/decisions/tests/support/mod.rs
+++ b/crates/decisions/tests/support/mod.rs
@@ -86,7 +86,7 @@
         self.first_target()
     }
 
-    /// The server of the first send among the present actions.
+    /// Returns the server of the first send among the present actions.
     pub fn first_target(&self) -> Option<u32> {
         self.actions.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(server.0),
--- a/crates/emulator/tests/stale_lists/play.rs
+++ b/crates/emulator/tests/stale_lists/play.rs
@@ -243,7 +243,7 @@
         let now = self.now();
         self.schedule_request(process);
         let p = &mut self.processes[process];
-        let report = p.decisions.list_standing(now);
+        let report = p.decisions.list_report(now);
         if report.is_some_and(|r| r.freshness == ListFreshness::Unverified && !r.is_started) {
             // It is not ready, and gets no requests.
             return;
--- a/crates/model/src/interface.rs
+++ b/crates/model/src/interface.rs
@@ -136,8 +136,8 @@
     pub worth_by_work: bool,
     /// Whether discovery sends lists only to those that request a watch; otherwise it pushes them.
     pub watch_on_request: bool,
-    /// Where a watch has to be requested, an instance that has not requested one for this long counts as
-    /// notified of all changes. Zero: the instance may request a watch at any time, since no others share
+    /// Where a watch has to be requested, an instance that has not requested one for this long is treated as
+    /// if it knew of all changes. Zero: the instance may request a watch at any time, since no others share
     /// discovery with it.
     pub watch_request_within: Micros,
     /// How long a list may be used without a watch, from the time when discovery could last have been
@@ -381,10 +381,10 @@
     pub last_ok_at: Micros,
 }
 
-/// The time after which an instance counts as notified of a change, whether or not it received the change:
-/// discovery has had the change and could be reached for this long. It holds on real sockets (the operators'
-/// standing test).
-pub const NOTIFIED_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
+/// The time after which an instance is treated as if it knew of a change, whether or not it received the
+/// change: discovery has had the change and could be reached for this long. The time applies to real sockets,
+/// as the test checks that the operators always run.
+pub const CHANGE_ASSUMED_KNOWN_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
 
 /// What was observed of a call to discovery that failed, or of a watch that ended. The names of the variants
 /// appear in log lines.
--- a/crates/serve/src/admin.rs
+++ b/crates/serve/src/admin.rs
@@ -106,8 +106,8 @@
     /// When the connection was accepted; the complete call has to arrive within `limits.admin_call_timeout`
     /// of it. Once the response is written: when that was; the caller has to close within the same time.
     since: Instant,
-    /// The response is written; what the caller still sends is discarded until it closes or its time has
-    /// elapsed.
+    /// Whether the response is written; what the caller still sends is discarded until it closes or its time
+    /// has elapsed.
     responded: bool,
 }
 
@@ -119,8 +119,8 @@
     conns: BTreeMap<ConnId, Conn>,
     /// When `PUT /healthcheck/fail` started the drain; `None`: this process is not drained by an operator.
     pub drained_since: Option<Instant>,
-    /// Accepting is paused until then: the system had no descriptor left, and a level-triggered listener
-    /// would spin.
+    /// When accepting resumes after a pause, which begins when the system has no descriptor left: a
+    /// level-triggered listener would spin. `None`: accepting is not paused.
     paused_until: Option<Instant>,
 }
 
@@ -351,7 +351,7 @@
     fn stats_text(&self, now: Instant) -> String {
         let at = self.net.clock.unix_time(now);
         let is_stale = |p: &&Pool| {
-            p.decisions.list_standing(at).is_some_and(|report| report.freshness == ListFreshness::Stale)
+            p.decisions.list_report(at).is_some_and(|report| report.freshness == ListFreshness::Stale)
         };
         let lists_stale = self.pools.iter().filter(is_stale).count();
         let pending = self.exchanges.pending();
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -94,7 +94,7 @@
     pub deadline: Duration,
     /// The caller's cost hint: the work that it expects the request to take.
     pub cost: Option<Duration>,
-    /// The client has sent this request before.
+    /// Whether the client has sent this request before.
     pub repeat: bool,
     /// The identifier of the key that the request concerns, for the decision module.
     pub subject: Option<KeyId>,
--- a/crates/serve/src/callers.rs
+++ b/crates/serve/src/callers.rs
@@ -52,11 +52,11 @@
     output: Vec<u8>,
     /// The number of bytes of `output` that the socket has accepted.
     written: usize,
-    /// The connection closes after the next response.
+    /// Whether the connection closes after the next response.
     close_after_response: bool,
-    /// A `100 Continue` was sent for the request that is being received.
+    /// Whether a `100 Continue` was sent for the request that is being received.
     sent_continue: bool,
-    /// The connection has carried a complete request.
+    /// Whether the connection has carried a complete request.
     had_request: bool,
     /// When the connection was accepted, became idle, or began its current request. The first request counts
     /// as begun when the connection is accepted: a client that connects and sends nothing is as slow as one
--- a/crates/serve/src/discovered_hosts.rs
+++ b/crates/serve/src/discovered_hosts.rs
@@ -2,7 +2,7 @@
 //! from another service.
 
 use garnettally_decisions::facade::ListedState;
-use garnettally_model::{HostList, Listing, Micros, NOTIFIED_AFTER};
+use garnettally_model::{HostList, Listing, Micros, CHANGE_ASSUMED_KNOWN_AFTER};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -36,7 +36,7 @@
 pub struct DiscoveredHosts {
     /// The number of the present service, counted from 0: each service counts its versions independently.
     service: u32,
-    /// Hosts that left less than `NOTIFIED_AFTER` ago, by name.
+    /// Hosts that left less than `CHANGE_ASSUMED_KNOWN_AFTER` ago, by name.
     departures: BTreeMap<String, Departure>,
     /// Those of the departed hosts that another service still lists as ready; the module gets them as
     /// draining for now.
@@ -77,7 +77,7 @@
     /// Returns as a change the withheld hosts that the service still lists so long after their departure that
     /// it must know of it.
     pub fn release_withheld(&mut self, now: Instant) -> Option<HostList> {
-        self.departures.retain(|_, d| now < d.first_reported_at + NOTIFIED_AFTER);
+        self.departures.retain(|_, d| now < d.first_reported_at + CHANGE_ASSUMED_KNOWN_AFTER);
         let departures = &self.departures;
         let (kept, released): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.withheld)
             .into_iter()
@@ -180,13 +180,13 @@
     }
 
     /// Whether another service reported the departure of this process of the host so recently that the
-    /// present service need not know of it: [`NOTIFIED_AFTER`] after a change at one service, every service
-    /// lists it.
+    /// present service need not know of it: [`CHANGE_ASSUMED_KNOWN_AFTER`] after a change at one service,
+    /// every service lists it.
     fn departed_by_other_service(&self, listing: &Listing, as_of: Instant) -> bool {
         self.departures.get(&listing.name).is_some_and(|d| {
             d.service != self.service
                 && d.started_at == listing.started_at
-                && as_of < d.first_reported_at + NOTIFIED_AFTER
+                && as_of < d.first_reported_at + CHANGE_ASSUMED_KNOWN_AFTER
         })
     }
 
--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -61,7 +61,7 @@
     last_failure: String,
     /// How often storing has failed.
     failure_count: u64,
-    /// The process is being drained or shut down.
+    /// Whether the process is being drained or shut down.
     is_draining: bool,
 }
 
@@ -286,7 +286,7 @@
             }
             Event::OwnedDuties(owned) => {
                 let owned: Vec<String> = owned.iter().map(|(d, e)| format!("{d} {e}")).collect();
-                info!(net.log, "owns these duties now, by epoch"; "duties" => owned.join(", "));
+                info!(net.log, "this member owns these duties now, with their epochs"; "duties" => owned.join(", "));
             }
             Event::OwnerChanged(change) => {
                 let mut previous_owner_alive = false;
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -34,21 +34,21 @@
     /// The caller's identifier of the request.
     id: String,
     pool: PoolId,
-    /// What the pool's decision module is asked.
+    /// The request as it is passed to the pool's decision module.
     pick_request: PickRequest,
     request: Rc<Request>,
     /// The number of attempts started in this pool.
     attempts: u32,
-    /// The number of those attempts that have not ended.
+    /// The number of attempts in this pool that have not ended.
     in_flight: u32,
-    /// The request has had its response, or its client has left.
+    /// Whether the request has had its response, or its client has left.
     concluded: bool,
-    /// An attempt has run, or may have run, on an upstream.
+    /// Whether an attempt has run, or may have run, on an upstream.
     may_have_run: bool,
     /// For how long after an attempt that may have run another may be sent: zero for unsafe classes; `None`:
     /// without limit.
     repeat_within: Option<Duration>,
-    /// When that time ends; `None`: no attempt can have run yet, or there is no limit.
+    /// When the time of `repeat_within` ends; `None`: no attempt can have run yet, or there is no limit.
     repeat_deadline: Option<Instant>,
     /// The pools that may get the request, in order, if this pool refuses it and no attempt can have run.
     fallback_pools: Vec<PoolId>,
@@ -615,14 +615,14 @@
         }
     }
 
-    /// The reason for which a request is refused or failed at this time.
+    /// The reason for which a request that gets no response now is refused or fails.
     fn refusal_reason(&self, request: RequestId) -> Option<RefusalReason> {
         let exchange = self.exchanges.open.get(&request)?;
         let now = self.net.clock.unix_time(Instant::now());
-        let standing = self.pools.get(exchange.pool).and_then(|p| p.decisions.list_standing(now));
-        Some(match standing {
+        let list_report = self.pools.get(exchange.pool).and_then(|p| p.decisions.list_report(now));
+        Some(match list_report {
             _ if exchange.attempts + exchange.earlier_attempts > 0 => RefusalReason::AttemptsFailed,
-            Some(s) if s.freshness == ListFreshness::Stale => RefusalReason::StaleList,
+            Some(report) if report.freshness == ListFreshness::Stale => RefusalReason::StaleList,
             _ => RefusalReason::NoRoom,
         })
     }
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -46,7 +46,7 @@
     export: Option<Export>,
     /// When verdicts are exchanged next.
     next_exchange_at: Instant,
-    /// The exchange that is due has been postponed once already.
+    /// Whether the exchange that is due has been postponed once already.
     is_postponed: bool,
     /// The version of the facts at the last merge, and when that was.
     last_merge: (u64, Instant),
@@ -193,7 +193,7 @@
         postpones
     }
 
-    /// Publishes the findings of these pools' modules, and returns the verdicts that changed for each of
+    /// Publishes the observations of these pools' modules, and returns the verdicts that changed for each of
     /// them. `at` is the modules' time.
     pub fn exchange_verdicts(
         &mut self,
@@ -220,8 +220,8 @@
             for class in pool.classes {
                 self.names.entry((0, name_hash(class))).or_insert_with(|| class.to_string());
             }
-            let findings = pool.decisions.local_observations(at);
-            for (key, value, age) in exchange.collect_claims(at, &findings, max_age, name) {
+            let observations = pool.decisions.local_observations(at);
+            for (key, value, age) in exchange.collect_claims(at, &observations, max_age, name) {
                 self.link.publish(&key, &value, Duration::from_micros(age.0.max(0) as u64));
             }
         }
@@ -456,7 +456,7 @@
             warn!(log, "a member is down"; "member" => &m.name, "address" => %m.address, "alive" => alive)
         }
         Event::MemberRenewed(_, m) => {
-            info!(log, "a member has a new life"; "member" => &m.name, "address" => %m.address,
+            info!(log, "a member has restarted or has joined the fleet anew"; "member" => &m.name, "address" => %m.address,
                 "generation" => m.generation)
         }
         Event::Rejoined(_) => warn!(log, "was taken to be dead, and has joined anew"),
--- a/crates/serve/src/http.rs
+++ b/crates/serve/src/http.rs
@@ -34,7 +34,7 @@
     pub headers: Vec<u8>,
     /// The body with any chunked coding removed.
     pub body: Vec<u8>,
-    /// The caller's connection may carry another request after this one.
+    /// Whether the caller's connection may carry another request after this one.
     pub keep_alive: bool,
     /// The value of `Req-Id`.
     pub id: Option<String>,
@@ -44,9 +44,9 @@
     pub deadline: Option<String>,
     /// The value of `Req-Cost`, in microseconds, not yet parsed.
     pub cost: Option<String>,
-    /// The client has sent this request before (`Req-Retry: 1`).
+    /// Whether the client has sent this request before (`Req-Retry: 1`).
     pub repeat: bool,
-    /// The request has an `Idempotency-Key` that is not empty.
+    /// Whether the request has an `Idempotency-Key` that is not empty.
     pub keyed: bool,
 }
 
@@ -99,11 +99,11 @@
     pub deadline: Duration,
     /// The caller's cost hint: the work that it expects the request to take.
     pub cost: Option<Duration>,
-    /// The client has sent this request before.
+    /// Whether the client has sent this request before.
     pub repeat: bool,
-    /// The method declares that the request changes nothing on the server.
+    /// Whether the method declares that the request changes nothing on the server.
     pub read_only: bool,
-    /// The request carries an idempotency key by which a server recognizes a repeat.
+    /// Whether the request carries an idempotency key by which a server recognizes a repeat.
     pub keyed: bool,
 }
 
@@ -162,11 +162,11 @@
     pub headers: Vec<u8>,
     /// The body with any chunked coding removed.
     pub body: Vec<u8>,
-    /// The upstream's connection may carry another request after this response.
+    /// Whether the upstream's connection may carry another request after this response.
     pub keep_alive: bool,
     /// The `Content-Length` of a response to HEAD, which has no body.
     pub length_without_body: Option<usize>,
-    /// The server states that the request never ran (`Srv-Declined: 1`).
+    /// Whether the server states that the request never ran (`Srv-Declined: 1`).
     pub declined: bool,
     /// The number of requests in flight at the server, from its load report (`Srv-Load`).
     pub in_flight: Option<f64>,
@@ -306,7 +306,7 @@
     length_count: usize,
     chunked: bool,
     keep_alive: bool,
-    /// The message has `Expect: 100-continue`.
+    /// Whether the message has `Expect: 100-continue`.
     expects_continue: bool,
     /// The number of `Host` lines.
     host_count: usize,
@@ -424,11 +424,11 @@
 pub struct ChunkDecoder {
     /// The bytes of the current chunk that have not been received.
     remaining: usize,
-    /// The CRLF that terminates the current chunk has not been received.
+    /// Whether the CRLF that terminates the current chunk has not been received.
     chunk_end_pending: bool,
-    /// The last chunk has been received; trailers follow.
+    /// Whether the last chunk has been received; trailers follow.
     in_trailers: bool,
-    /// The body and its trailers are complete.
+    /// Whether the body and its trailers are complete.
     pub done: bool,
 }
 
--- a/crates/serve/src/plan.rs
+++ b/crates/serve/src/plan.rs
@@ -60,11 +60,11 @@
 pub struct PoolPlan {
     /// The pool's name.
     pub name: String,
-    /// The input for its instance of the decision module.
+    /// The settings and names for the pool's instance of the decision module.
     pub site: Site,
     /// The settings whose change needs a new instance of the module; `None` on the platform.
     pub identity: Option<PoolIdentity>,
-    /// The source of its nodes.
+    /// The source of the pool's nodes.
     pub nodes: PoolNodes,
     /// A list known from before, with which the module starts.
     pub known_list: Option<HostList>,
@@ -72,17 +72,17 @@
     pub connect_timeout: Duration,
     /// How long an idle connection is kept open.
     pub idle_timeout: Duration,
-    /// Its share of the requests in flight.
+    /// The pool's share of the requests in flight.
     pub requests: Share,
-    /// Its share of the connections.
+    /// The pool's share of the connections.
     pub connections: Share,
-    /// Its share of the memory for incomplete responses, in bytes.
+    /// The pool's share of the memory for incomplete responses, in bytes.
     pub memory: Share,
     /// The rules by which a failover list leaves this pool and returns to it.
     pub failover: FailoverRules,
-    /// Any 2xx or 3xx response counts as success; otherwise only 200 does.
+    /// Whether any 2xx or 3xx response counts as success; otherwise only 200 does.
     pub any_success: bool,
-    /// As many instances as the fleet has members share its nodes.
+    /// Whether as many instances share the pool's nodes as the fleet has members.
     pub shared_by_fleet: bool,
 }
 
@@ -174,7 +174,7 @@
 }
 
 impl PoolPlan {
-    /// The settings of its connections, which count against this holder's share.
+    /// Returns the settings of the pool's connections, which count against this holder's share.
     pub(crate) fn connection_settings(&self, holder: HolderId) -> ConnectionSettings {
         let (connect_timeout, idle_timeout) = (self.connect_timeout, self.idle_timeout);
         let (memory, any_success) = (self.memory, self.any_success);
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -30,44 +30,44 @@
     pub name: String,
     /// The pool's instance of the decision module.
     pub decisions: Decisions,
-    /// Where its list of nodes comes from.
+    /// Where the pool's list of nodes comes from.
     pub source: Source,
     /// The pool that has taken over this pool's source, and queues its reports for both.
     pub source_moved_to: Option<PoolId>,
-    /// The settings that its instance of the module was created with; a change of them needs a new instance.
-    /// `None` on the platform.
+    /// The settings that the pool's instance of the module was created with; a change of them needs a new
+    /// instance. `None` on the platform.
     pub identity: Option<PoolIdentity>,
-    /// The setting that names the source of its nodes.
+    /// The setting that names the source of the pool's nodes.
     pub nodes: Option<PoolNodes>,
-    /// Its share of the requests in flight.
+    /// The pool's share of the requests in flight.
     pub requests: HolderId,
-    /// Its share of the mirrored requests in flight.
+    /// The pool's share of the mirrored requests in flight.
     pub copies: HolderId,
-    /// Its share of the connections.
+    /// The pool's share of the connections.
     pub connections: HolderId,
-    /// The health of its nodes, which failover goes by.
+    /// The health of the pool's nodes, on which failover is based.
     pub health: health::NodeHealth,
     /// Whether failover uses the pool, and for how large a part of its requests.
     pub failover: PoolFailover,
     /// How many requests of the pool have not ended yet, or still have attempts in flight.
     pub unfinished_requests: usize,
-    /// Only a listing as draining obliges this process to stop sending; being removed from the list is a
-    /// hint.
+    /// Whether a removal from the list is only a hint: then only a listing as draining obliges this process
+    /// to stop sending.
     pub removal_is_advisory: bool,
-    /// The pool gets no new requests, and is removed when its last one has ended.
+    /// Whether the pool gets no new requests, and is removed when its last one has ended.
     pub is_retired: bool,
-    /// A node has been listed as ready at least once.
+    /// Whether a node has been listed as ready at least once.
     pub was_ready: bool,
-    /// Where as many instances as the fleet has members share its nodes: their number and this instance's
-    /// index from 0, as last reported to the module.
+    /// Where as many instances as the fleet has members share the pool's nodes: their number and this
+    /// instance's index from 0, as last reported to the module.
     pub shared_by_fleet: Option<(u32, u32)>,
-    /// The source has delivered a whole list; requests that arrive earlier wait for it.
+    /// Whether the source has delivered a whole list; requests that arrive earlier wait for it.
     pub has_list: bool,
     /// How far the wall clock was ahead of the process's own clock when the module was last notified.
-    wall_ahead: Micros,
+    wall_clock_ahead: Micros,
     /// The freshness of the list in the last log line about it.
     logged_freshness: Option<ListFreshness>,
-    /// The first call to discovery has been given its time, or the list was usable without it.
+    /// Whether the first call to discovery has been given its time, or the list was usable without it.
     is_started: bool,
     /// Input for the module's next turn, in the order of arrival.
     queued: Vec<ModuleInput>,
@@ -76,7 +76,7 @@
 }
 
 impl Pool {
-    /// Whether a request could be sent to one of its nodes, or may wait for its first list.
+    /// Whether a request could be sent to one of the pool's nodes, or may wait for the pool's first list.
     pub fn can_serve(&self) -> bool {
         !self.is_retired && (!self.has_list || self.health.ready_count() > 0)
     }
@@ -86,7 +86,7 @@
     pub fn is_started(&self, now: Micros) -> bool {
         let is_usable = |standing| matches!(standing, ListFreshness::Watched | ListFreshness::Leased);
         self.is_started
-            || self.decisions.list_standing(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
+            || self.decisions.list_report(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
     }
 
     /// The pool as the fleet's exchange of verdicts reads it.
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Reports to the module how many instances share its nodes, if the pool's settings leave that to the
-    /// fleet and the number has changed. Returns whether it did.
+    /// Reports to the module how many instances share the pool's nodes, if the pool's settings leave that to
+    /// the fleet and the number has changed. Returns whether it has changed.
     pub fn set_fleet_share(&mut self, share: (u32, u32)) -> bool {
         let has_changed = self.shared_by_fleet.is_some_and(|before| before.0 != share.0);
         if has_changed {
@@ -114,8 +114,8 @@
     fn follow_wall_clock(&mut self, now: Micros, ahead: Micros) {
         // A smaller difference comes from the drift of the clocks and the time between two readings.
         const MIN_STEP_US: i64 = 100_000;
-        if (ahead - self.wall_ahead).0.abs() >= MIN_STEP_US {
-            self.wall_ahead = ahead;
+        if (ahead - self.wall_clock_ahead).0.abs() >= MIN_STEP_US {
+            self.wall_clock_ahead = ahead;
             self.decisions.report(now, Report::WallClock { ahead });
         }
     }
@@ -253,7 +253,7 @@
             was_ready: false,
             shared_by_fleet: plan.shared_by_fleet.then_some((1, 0)),
             has_list: false,
-            wall_ahead: Micros(0),
+            wall_clock_ahead: Micros(0),
             logged_freshness: None,
             is_started: false,
             queued: Vec::new(),
@@ -411,7 +411,7 @@
     pub fn log_list_freshness(&mut self, id: PoolId, now: Micros) {
         let Some(pool) = self.pools.get_mut(id) else { return };
         pool.is_started = pool.is_started(now);
-        let Some(report) = pool.decisions.list_standing(now) else { return };
+        let Some(report) = pool.decisions.list_report(now) else { return };
         if pool.logged_freshness.replace(report.freshness) == Some(report.freshness) {
             return;
         }
@@ -426,7 +426,7 @@
             "asked_in_ms" => asked_in, "pool" => &pool.name);
     }
 
-    /// Records the result of an attempt for the health that failover goes by.
+    /// Records the result of an attempt for the health on which failover is based.
     pub fn record_attempt_result(&mut self, target: Target, code: Code, now: Instant) {
         let at = self.net.clock.unix_time(now);
         if let Some(pool) = self.pools.get_mut(target.pool) {
--- a/crates/serve/src/shutdown.rs
+++ b/crates/serve/src/shutdown.rs
@@ -8,15 +8,15 @@
 /// The progress of the shutdown; the times are `None` before it begins.
 #[derive(Default)]
 pub struct Shutdown {
-    /// Until then connections are kept open between requests.
+    /// The time until which connections are kept open between requests.
     keep_alive_until: Option<Instant>,
-    /// Until then new connections are accepted.
+    /// The time until which new connections are accepted.
     accept_until: Option<Instant>,
     /// When the last response has to be written.
     respond_by: Option<Instant>,
-    /// Connections close after their present request.
+    /// Whether connections close after their present request.
     is_closing: bool,
-    /// The listening sockets are closed.
+    /// Whether the listening sockets are closed.
     stopped_listening: bool,
 }
 
--- a/crates/serve/src/source.rs
+++ b/crates/serve/src/source.rs
@@ -33,7 +33,7 @@
     last_seen: Option<Stamp>,
     /// When the file is checked next.
     next_check: Instant,
-    /// The file was missing at the last check, and that has been logged.
+    /// Whether the file was missing at the last check, which has then been logged.
     is_missing: bool,
 }
 
--- a/crates/serve/src/stats.rs
+++ b/crates/serve/src/stats.rs
@@ -46,7 +46,7 @@
 /// The counters of one process.
 #[derive(Default)]
 pub struct Stats {
-    /// By the class's name as it appears in the metric.
+    /// The outcome counts of each class, by the class's name as it appears in the metric.
     classes: BTreeMap<String, OutcomeCounts>,
     /// The number of attempts that were written completely to an upstream.
     upstream_requests: u64,
--- a/crates/serve/src/upstreams.rs
+++ b/crates/serve/src/upstreams.rs
@@ -33,11 +33,11 @@
     pub connect_timeout: Duration,
     /// How long an idle connection is kept open.
     pub idle_timeout: Duration,
-    /// The holder whose share of the connections they count against.
+    /// The holder against whose share of the connections these count.
     pub holder: HolderId,
-    /// Their share of the memory for incomplete responses, in bytes.
+    /// The pool's share of the memory for incomplete responses, in bytes.
     pub memory: Share,
-    /// Any 2xx or 3xx response counts as success; on the platform only 200 does.
+    /// Whether any 2xx or 3xx response counts as success; on the platform only 200 does.
     pub any_success: bool,
 }
 
@@ -61,7 +61,7 @@
     attempt: Attempt,
     /// When the attempt was sent, or queued for a connection that is still being opened.
     sent_at: Instant,
-    /// The request's method is HEAD, so the response has no body.
+    /// Whether the request's method is HEAD, so the response has no body.
     is_head: bool,
     /// For how long the connection may have been established before this process noticed.
     local_delay: Duration,
@@ -70,18 +70,18 @@
 /// A connection to an upstream.
 struct Conn {
     upstream: Target,
-    /// Its unit of the limit on connections.
+    /// The connection's unit of the limit on connections.
     reservation: Reservation,
     address: SocketAddr,
     socket: WatchedStream,
-    /// The connection has been established.
+    /// Whether the connection has been established.
     is_open: bool,
     /// The request of the present attempt; its first `written` bytes have been written.
     output: Vec<u8>,
     written: usize,
     /// The bytes received of a response that is not complete.
     input: Vec<u8>,
-    /// The attempt that it carries; `None` while it is idle.
+    /// The attempt that the connection carries; `None` while the connection is idle.
     in_flight: Option<InFlight>,
     /// When the last response ended, or when the connection was requested.
     idle_since: Instant,
@@ -91,7 +91,7 @@
 #[derive(Default)]
 pub struct Upstreams {
     settings: FxHashMap<PoolId, ConnectionSettings>,
-    /// Where each upstream is reached.
+    /// The address of each upstream.
     addresses: FxHashMap<Target, SocketAddr>,
     conns: FxHashMap<ConnId, Conn>,
     /// Idle connections of each upstream, the most recently used one last.
@@ -274,7 +274,7 @@
 }
 
 impl AttemptResult {
-    /// The same result, with the upstream that it was sent to.
+    /// Returns the result with the upstream that the attempt was sent to.
     fn with_target(self, target: Target) -> AttemptResult {
         AttemptResult { target: Some(target), ..self }
     }
@@ -291,7 +291,7 @@
 }
 
 impl Conn {
-    /// Whether its request is not written completely, and so can't have run.
+    /// Whether the attempt's request is not written completely, and so can't have run.
     fn is_unwritten(&self) -> bool {
         !self.is_open || self.written < self.output.len()
     }
--- a/crates/subscription/src/evidence.rs
+++ b/crates/subscription/src/evidence.rs
@@ -1,6 +1,7 @@
 //! Maps the failure of a call, or of a watch, to what it says about the registry.
 //!
-//! This is the only place where failures are sorted. Failures that are not listed here change nothing.
+//! This is the only place where failures are sorted: nothing else about a failure changes for how long the
+//! list may be used.
 
 use crate::list_validity::{UnclearFailure, WatchLoss};
 use garnettally_model::CallFailure;
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -211,9 +211,14 @@
         self.pace.record_success();
     }
 
-    /// Reports that the call has failed, or that the watch has ended after all changes up to `since` were
+    /// Reports that the call has failed, or that the watch has ended after all changes up to `complete_until` were
     /// received. Returns whether a watch was open until now.
-    pub fn call_or_watch_failed(&mut self, now: Micros, since: Micros, failure: CallFailure) -> bool {
+    pub fn call_or_watch_failed(
+        &mut self,
+        now: Micros,
+        complete_until: Micros,
+        failure: CallFailure,
+    ) -> bool {
         let was_open = self.is_open();
         match self.state {
             State::Waiting { .. } => {}
@@ -221,7 +226,7 @@
                 self.call_failed(asked, now, failure);
                 self.is_starting = false;
             }
-            State::Open => self.watch_lost(now, since, failure),
+            State::Open => self.watch_lost(now, complete_until, failure),
         }
         was_open
     }
@@ -253,9 +258,10 @@
         }
     }
 
-    /// Ends an open watch on which all changes up to `since` were received.
-    fn watch_lost(&mut self, now: Micros, since: Micros, failure: CallFailure) {
-        self.validity = ListValidity::after_watch_loss(now, since, watch_loss(failure), self.leases());
+    /// Ends an open watch on which all changes up to `complete_until` were received.
+    fn watch_lost(&mut self, now: Micros, complete_until: Micros, failure: CallFailure) {
+        self.validity =
+            ListValidity::after_watch_loss(now, complete_until, watch_loss(failure), self.leases());
         self.state = State::Waiting { until: self.pace.call_after_loss(now) };
     }
 
--- a/crates/subscription/src/list_validity.rs
+++ b/crates/subscription/src/list_validity.rs
@@ -26,9 +26,9 @@
     pub full: Micros,
     /// Lease after the loss of a watch: the next call is normally answered within this time.
     pub after_loss: Micros,
-    /// Unclear failures never extend the full lease that began with the last line, and a broken connection is
-    /// no better evidence than the end of a watch. This holds in a small fleet, where each process calls
-    /// often enough to be answered by a registry that is up.
+    /// Whether unclear failures never extend the full lease that began with the last line, and a broken
+    /// connection is no better evidence than the end of a watch. This holds in a small fleet, where each
+    /// process calls often enough to be answered by a registry that is up.
     pub is_strict: bool,
 }
 
@@ -86,17 +86,22 @@
         ListValidity { evidence: Evidence::None, complete_until: NEVER, usable_until: NEVER }
     }
 
-    /// The validity of a list after a watch was lost at `now` that had reported all changes up to `since`.
-    pub fn after_watch_loss(now: Micros, since: Micros, loss: WatchLoss, leases: Leases) -> ListValidity {
+    /// The validity of a list after a watch was lost at `now` that had reported all changes up to `complete_until`.
+    pub fn after_watch_loss(
+        now: Micros,
+        complete_until: Micros,
+        loss: WatchLoss,
+        leases: Leases,
+    ) -> ListValidity {
         let after_loss = now + leases.after_loss;
         let (evidence, until) = match loss {
             WatchLoss::Broken if leases.is_strict => (Evidence::Watch, after_loss),
-            WatchLoss::Broken => (Evidence::Watch, since + leases.full),
+            WatchLoss::Broken => (Evidence::Watch, complete_until + leases.full),
             WatchLoss::Ended => (Evidence::EndedWatch, after_loss),
             WatchLoss::Incomplete => (Evidence::Incomplete, after_loss),
         };
-        let usable_until = until.min(since + leases.full);
-        ListValidity { evidence, complete_until: since, usable_until }
+        let usable_until = until.min(complete_until + leases.full);
+        ListValidity { evidence, complete_until, usable_until }
     }
 
     /// Records that no process could reach the registry at this time.
--- a/crates/verdicts/src/claim.rs
+++ b/crates/verdicts/src/claim.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The first byte of the key of a fact that is a claim; facts of other kinds have other first bytes.
-const KIND: u8 = b'v';
+const CLAIM_KEY_PREFIX: u8 = b'v';
 
 /// The subject of a claim: a node, or a node for one class of requests. A node that has restarted is another
 /// subject.
@@ -30,7 +30,7 @@
 impl Subject {
     /// Encodes the subject as the key of a fact.
     pub fn to_key(self) -> Vec<u8> {
-        let mut key = vec![KIND];
+        let mut key = vec![CLAIM_KEY_PREFIX];
         for part in [self.pool, self.node, self.started_at_us as u64, self.class] {
             key.extend(part.to_be_bytes());
         }
@@ -39,7 +39,7 @@
 
     /// Decodes the key of a fact. Returns `None` if it is not the key of a claim.
     pub fn from_key(key: &[u8]) -> Option<Subject> {
-        let (&KIND, parts) = key.split_first()? else { return None };
+        let (&CLAIM_KEY_PREFIX, parts) = key.split_first()? else { return None };
         let mut numbers = parts.chunks_exact(8).map(|c| c.try_into().map(u64::from_be_bytes));
         let mut next = || numbers.next()?.ok();
         let (pool, node, started_at_us, class) = (next()?, next()?, next()? as i64, next()?);
--- a/crates/verdicts/src/exchange.rs
+++ b/crates/verdicts/src/exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of verdicts for one pool: opinions of the decision module become claims, and merged verdicts
-//! become remote reports for the module.
+//! The exchange of verdicts for one pool: observations of the decision module become claims, and merged
+//! verdicts become peer verdicts for the module.
 
 use crate::claim::{name_hash, Claim, NodeCondition, Subject};
 use crate::merge::{is_own_fault, MergedVerdict};
@@ -44,10 +44,10 @@
 /// Whether this member has reason to believe that a node, or the network path to it, is impaired. This
 /// applies to more nodes than are ejected, because the number of ejected nodes is bounded and an outstanding
 /// call is soon cancelled. It lasts until the node has answered successfully.
-fn is_doubted(opinion: &ServerObservation) -> bool {
-    opinion.severity > 0.0
-        || opinion.overdue_share >= SILENT_THRESHOLD
-        || (opinion.outlier_score >= DOUBT_SCORE && opinion.last_ok_at < opinion.last_ended_at)
+fn is_doubted(observation: &ServerObservation) -> bool {
+    observation.severity > 0.0
+        || observation.overdue_share >= SILENT_THRESHOLD
+        || (observation.outlier_score >= DOUBT_SCORE && observation.last_ok_at < observation.last_ended_at)
 }
 
 impl VerdictExchange {
@@ -83,28 +83,30 @@
     pub fn collect_claims<'n>(
         &mut self,
         now: Micros,
-        findings: &LocalObservations,
+        local: &LocalObservations,
         max_age: Micros,
         name: impl Fn(ServerId) -> &'n str,
     ) -> Vec<EncodedClaim> {
-        let opinions = &findings.servers;
+        let observations = &local.servers;
         let mut nodes: Vec<u32> =
-            opinions.iter().filter(|opinion| is_doubted(opinion)).map(|opinion| opinion.server.0).collect();
+            observations.iter().filter(|one| is_doubted(one)).map(|one| one.server.0).collect();
         nodes.dedup();
         // If most nodes of the pool appear impaired, the fault is this member's own, and it makes no claims.
-        let has_own_fault = is_own_fault(nodes.len(), findings.servers_in_use);
+        let has_own_fault = is_own_fault(nodes.len(), local.servers_in_use);
         let mut claims = Vec::new();
-        for opinion in opinions {
-            let subject = self.subject(opinion, &name);
+        for observation in observations {
+            let subject = self.subject(observation, &name);
             let before = self.published.get(&subject);
             // If no answer ever arrived from a node, a sick node can't be distinguished from a broken network
             // path.
-            let is_reached = opinion.has_answered && !opinion.is_unreachable;
-            let found = match (opinion.severity > 0.0, is_reached) {
-                (true, false) => Some((NodeCondition::Unreachable, opinion.severity, opinion.last_ended_at)),
-                (true, true) => Some((NodeCondition::Sick, opinion.severity, opinion.last_ended_at)),
+            let is_reached = observation.has_answered && !observation.is_unreachable;
+            let found = match (observation.severity > 0.0, is_reached) {
+                (true, false) => {
+                    Some((NodeCondition::Unreachable, observation.severity, observation.last_ended_at))
+                }
+                (true, true) => Some((NodeCondition::Sick, observation.severity, observation.last_ended_at)),
                 // The node is silent at this moment, so the evidence has no age.
-                (false, _) if opinion.overdue_share >= SILENT_THRESHOLD && opinion.has_answered => {
+                (false, _) if observation.overdue_share >= SILENT_THRESHOLD && observation.has_answered => {
                     Some((NodeCondition::Silent, SILENT_SEVERITY, now))
                 }
                 _ => None,
@@ -123,24 +125,24 @@
                     claims.push((subject.to_key(), claim.to_value(), now - at));
                 }
             } else if before.is_some() {
-                // The age is that of the node's latest good answer, because the readmission of a node on
-                // remote reports does not show that it is well.
+                // The age is that of the node's latest good answer, because the readmission of a node by
+                // peer verdicts does not show that it is well.
                 self.published.remove(&subject);
                 let claim = Claim { condition: NodeCondition::Well, severity: 0.0 };
-                claims.push((subject.to_key(), claim.to_value(), now - opinion.last_ok_at));
+                claims.push((subject.to_key(), claim.to_value(), now - observation.last_ok_at));
             }
         }
         self.published.retain(|_, published| now - published.evidence_at < max_age + max_age);
         claims
     }
 
-    /// Returns the remote reports that the module has to receive because they are new, changed or withdrawn.
-    /// `since` returns the time at which a node started, as given in this member's list of upstreams.
+    /// Returns the peer verdicts that the module has to receive because they are new, changed or withdrawn.
+    /// `started_at` returns the time at which a node started, as given in this member's list of upstreams.
     pub fn update_verdicts(
         &mut self,
         now: Micros,
         verdicts: &[MergedVerdict],
-        since: impl Fn(ServerId) -> Option<Micros>,
+        started_at: impl Fn(ServerId) -> Option<Micros>,
     ) -> Vec<PeerVerdict> {
         let mut updates = Vec::new();
         let mut remaining = std::mem::take(&mut self.active);
@@ -154,7 +156,7 @@
                 },
             };
             // The verdict does not apply to a node that has restarted since.
-            if Subject::encode_start(since(server)) != verdict.subject.started_at_us {
+            if Subject::encode_start(started_at(server)) != verdict.subject.started_at_us {
                 continue;
             }
             let new = PeerVerdict {
@@ -164,7 +166,7 @@
                 found_at: now - verdict.age,
                 probes_here: verdict.probes_node,
             };
-            let before = remaining.remove(&verdict.subject).map(|(_, _, h)| h);
+            let before = remaining.remove(&verdict.subject).map(|(_, _, verdict)| verdict);
             let same = before.filter(|b| {
                 b.probes_here == new.probes_here
                     && (b.severity - new.severity).abs() <= MIN_SEVERITY_CHANGE
@@ -190,14 +192,18 @@
 
     /// The verdicts of other members that the module currently applies.
     pub fn active_verdicts(&self) -> impl Iterator<Item = &PeerVerdict> {
-        self.active.values().map(|(_, _, h)| h)
+        self.active.values().map(|(_, _, verdict)| verdict)
     }
 
-    fn subject<'n>(&mut self, opinion: &ServerObservation, name: &impl Fn(ServerId) -> &'n str) -> Subject {
-        self.register_nodes(opinion.server.0 as usize + 1, name);
-        let class = opinion.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
-        let node = self.nodes[opinion.server.0 as usize];
-        Subject { pool: self.pool, node, started_at_us: Subject::encode_start(opinion.started_at), class }
+    fn subject<'n>(
+        &mut self,
+        observation: &ServerObservation,
+        name: &impl Fn(ServerId) -> &'n str,
+    ) -> Subject {
+        self.register_nodes(observation.server.0 as usize + 1, name);
+        let class = observation.class.and_then(|c| self.classes.get(c.0 as usize)).copied().unwrap_or(0);
+        let node = self.nodes[observation.server.0 as usize];
+        Subject { pool: self.pool, node, started_at_us: Subject::encode_start(observation.started_at), class }
     }
 
     /// Registers the names of the nodes with numbers below `count`. Numbers are never reused.
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -2,8 +2,8 @@
 //! from them (docs/design/fleet.md).
 //!
 //! Each member publishes only what its own decision module found out by its own requests, never what others
-//! reported. [`VerdictExchange`] turns the opinions of a module into claims, and the verdicts that
-//! [`merge_claims`] derives from the claims of all members into remote reports for the module. Claims carry
+//! reported. [`VerdictExchange`] turns the observations of a module into claims, and the verdicts that
+//! [`merge_claims`] derives from the claims of all members into peer verdicts for the module. Claims carry
 //! ages rather than times, and this crate uses neither a clock nor a link.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/verdicts/src/merge.rs
+++ b/crates/verdicts/src/merge.rs
@@ -24,7 +24,7 @@
 /// A claim together with the member that published it.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberClaim {
-    /// The life of the member.
+    /// The life of the member, which identifies one run of its process.
     pub member: u64,
     /// The subject of the claim.
     pub subject: Subject,
@@ -81,7 +81,7 @@
 }
 
 /// Derives the verdicts of one member from the claims of all, its own included. A verdict needs at least one
-/// claim of another member, because the member's module already acts on its own findings.
+/// claim of another member, because the member's module already acts on its own observations.
 pub fn merge_claims(claims: &[MemberClaim], view: &FleetView<'_>) -> Vec<MergedVerdict> {
     let mut impaired_nodes: FxHashMap<(u64, u64), FxHashSet<u64>> = FxHashMap::default();
     for claim in claims.iter().filter(|claim| claim.claim.condition != NodeCondition::Well) {
