--- a/src/duties.rs
+++ b/src/duties.rs
@@ -1,4 +1,5 @@
-//! `garnettally duties`: who does what for the fleet, as a running process sees it, and an operator's word on it.
+//! `garnettally duties` asks a running process which member owns which of the fleet's duties, or has a duty
+//! moved to another member.
 
 use clap::{Args, Subcommand};
 use garnettally_drill::http;
@@ -7,64 +8,67 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ask a running process for the fleet's duties, or have one moved
+/// Show the fleet's duties as a running process reports them, or have one moved
 #[derive(Args)]
 pub struct Duties {
-    /// Its admin address
+    /// Admin address of the process
     admin: SocketAddr,
     /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
-    word: Option<Word>,
+    word: Option<DutyCommand>,
 }
 
 #[derive(Subcommand)]
-enum Word {
-    /// Have a duty owned by a member
+enum DutyCommand {
+    /// Move a duty to a member, which becomes its owner
     Move {
-        /// The duty
+        /// Name of the duty
         duty: String,
-        /// The member's name
+        /// Name of the member
         member: String,
     },
-    /// Have a duty owned by anybody but its owner
+    /// Take a duty from its owner, so that any other member can own it
     Release {
-        /// The duty
+        /// Name of the duty
         duty: String,
     },
 }
 
-/// How long an answer may take in all.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// A call to the admin address, including its answer, must be complete within this time.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Duties {
-    /// Asks, and gives what is to be printed.
+    /// Sends the call to the process, and returns the text to print.
     pub fn run(&self) -> Result<String, String> {
-        let told = |e: &str| format!("{}: {}", self.admin, e.trim_end());
+        let with_address = |e: &str| format!("{}: {}", self.admin, e.trim_end());
         let (method, path) = match &self.word {
             None => ("GET", "/duties".to_string()),
-            Some(Word::Move { duty, member }) => ("PUT", format!("/duties/{duty}/{member}")),
-            Some(Word::Release { duty }) => ("PUT", format!("/duties/{duty}")),
+            Some(DutyCommand::Move { duty, member }) => ("PUT", format!("/duties/{duty}/{member}")),
+            Some(DutyCommand::Release { duty }) => ("PUT", format!("/duties/{duty}")),
         };
         if path.chars().any(|c| c.is_whitespace() || c.is_control() || c == '?') {
-            return Err("names of duties and members have no spaces".into());
+            return Err(
+                "names of duties and members may not contain spaces, control characters or question marks"
+                    .into(),
+            );
         }
-        let body = match http::call(self.admin, method, &path, PATIENCE).map_err(|e| told(&e))? {
+        let body = match http::call(self.admin, method, &path, ADMIN_TIMEOUT).map_err(|e| with_address(&e))? {
             (200, body) => body,
-            (404, _) => return Err(told("this process has no [fleet.duties] in its file")),
-            (_, why) => return Err(told(&why)),
+            (404, _) => return Err(with_address("this process has no [fleet.duties] in its file")),
+            (_, why) => return Err(with_address(&why)),
         };
         if self.json || self.word.is_some() {
             return Ok(body.trim_end().to_string() + "\n");
         }
-        let told: Value =
+        let reply: Value =
             serde_json::from_str(&body).map_err(|e| format!("{}: not understood: {e}", self.admin))?;
-        Ok(table(&told))
+        Ok(format_table(&reply))
     }
 }
 
-fn table(told: &Value) -> String {
+fn format_table(reply: &Value) -> String {
     let text = |v: &Value| match v {
         Value::Null => "-".to_string(),
         Value::String(s) if s.is_empty() => "-".to_string(),
@@ -73,37 +77,45 @@
     };
     let mut out = String::new();
     let columns = ["duty", "owner", "epoch", "since_ms", "from", "why"];
-    let all = told["duties"].as_array().map_or(&[][..], Vec::as_slice);
+    let duties = reply["duties"].as_array().map_or(&[][..], Vec::as_slice);
     let mut rows: Vec<Vec<String>> = vec![columns.iter().map(|c| c.to_string()).collect()];
-    rows.extend(all.iter().map(|d| columns.iter().map(|c| text(&d[*c])).collect()));
+    rows.extend(duties.iter().map(|duty| columns.iter().map(|c| text(&duty[*c])).collect()));
     let width = |i: usize| rows.iter().map(|r| r[i].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns.len()).map(width).collect();
-    for row in rows.iter().filter(|_| !all.is_empty()) {
+    for row in rows.iter().filter(|_| !duties.is_empty()) {
         let cells: Vec<String> = row.iter().zip(&widths).map(|(c, w)| format!("{c:w$}")).collect();
         let _ = writeln!(out, "{}", cells.join("  ").trim_end());
     }
-    for d in told["owned"].as_array().into_iter().flatten() {
-        let acts = if d["acts"] == true { "acts" } else { "may not act yet" };
+    for duty in reply["owned"].as_array().into_iter().flatten() {
+        let acts = if duty["acts"] == true { "acts" } else { "may not act yet" };
         let _ = writeln!(
             out,
             "here: {} {acts}, epoch {}, lease left {} ms",
-            text(&d["duty"]),
-            d["epoch"],
-            d["left_ms"]
+            text(&duty["duty"]),
+            duty["epoch"],
+            duty["left_ms"]
         );
     }
-    let voters: Vec<String> = told["voters"].as_array().into_iter().flatten().map(text).collect();
-    let _ = write!(out, "{}; voters {}", text(&told["member"]), voters.join(" "));
-    if told["voter"] == true {
-        let leads = if told["leads"] == true { ", leads" } else { "" };
-        let _ =
-            write!(out, "; this one {}{leads}, {} decided", text(&told["standing"]), text(&told["decided"]));
+    let voters: Vec<String> = reply["voters"].as_array().into_iter().flatten().map(text).collect();
+    let _ = write!(out, "{}; voters {}", text(&reply["member"]), voters.join(" "));
+    if reply["voter"] == true {
+        let leads = if reply["leads"] == true { ", leads" } else { "" };
+        let _ = write!(
+            out,
+            "; this one {}{leads}, {} decided",
+            text(&reply["standing"]),
+            text(&reply["decided"])
+        );
     } else {
         let _ = write!(out, "; this one is none: ask a voter who owns what");
     }
-    if told["store_failures"].as_u64() > Some(0) {
-        let _ =
-            write!(out, "; storing failed {} times: {}", told["store_failures"], text(&told["last_failure"]));
+    if reply["store_failures"].as_u64() > Some(0) {
+        let _ = write!(
+            out,
+            "; storing failed {} times: {}",
+            reply["store_failures"],
+            text(&reply["last_failure"])
+        );
     }
     out + "\n"
 }
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -1,4 +1,5 @@
-//! The lab's commands: `emulate`, `experiment`, `load` and `drill`. Nothing here is reached from `serve`.
+//! The commands for trials: `emulate`, `experiment`, `load` and `drill`. The `serve` command uses nothing of
+//! this file.
 
 use clap::Args;
 use garnettally_drill::Script;
@@ -15,29 +16,29 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A run of a world in virtual time.
+/// Runs a world in virtual time.
 #[derive(Args)]
 pub struct Emulate {
-    /// The world's file
+    /// File that describes the world
     world: PathBuf,
-    /// The seed: the same one gives the same course of events
+    /// Seed of the random draws: the same seed gives the same course of events
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The policy: module, or a reference to compare it with
-    #[arg(long, default_value = "module", value_parser = policy)]
+    /// Policy that chooses the nodes: module (the decision module), or a reference to compare it with
+    #[arg(long, default_value = "module", value_parser = parse_policy)]
     policy: Kind,
     /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-fn policy(name: &str) -> Result<Kind, String> {
+fn parse_policy(name: &str) -> Result<Kind, String> {
     let names = || Kind::ALL.map(Kind::name).join(", ");
-    Kind::ALL.into_iter().find(|k| k.name() == name).ok_or_else(|| format!("there are {}", names()))
+    Kind::ALL.into_iter().find(|k| k.name() == name).ok_or_else(|| format!("the policies are {}", names()))
 }
 
 impl Emulate {
-    /// The report; a broken rule is a failure.
+    /// Runs the world, and returns the report to print. A broken rule is an error.
     pub fn run(&self) -> Result<String, String> {
         let file = self.world.display();
         let text = std::fs::read_to_string(&self.world).map_err(|e| format!("{file}: {e}"))?;
@@ -55,30 +56,32 @@
     }
 }
 
-/// A plan of worlds, settings, policies and seeds.
+/// Runs the combinations of worlds, settings, policies and seeds that a plan lists.
 #[derive(Args)]
 pub struct Experiment {
-    /// The plan's file
+    /// File with the plan
     plan: PathBuf,
-    /// The folder for rows and results; a run that was killed goes on from its rows
+    /// Folder for rows and results; a run that was killed continues after the rows it has written there
     #[arg(long)]
     out: PathBuf,
-    /// Cells that run at a time. Default: one a core
+    /// Number of cells that run at the same time. Default: one for each core
     #[arg(long)]
     jobs: Option<usize>,
 }
 
 impl Experiment {
-    /// Runs it, and says where the results are.
+    /// Runs the plan, and returns its table and the place of the results. Broken rules of the module are an
+    /// error.
     pub fn run(&self) -> Result<String, String> {
         let plan = Plan::load(&self.plan).map_err(|e| e.to_string())?;
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
-        let show = std::io::stderr().is_terminal();
+        let show_progress = std::io::stderr().is_terminal();
         let out = self.out.display();
-        let rows = run::run(&plan, &self.out, self.jobs.unwrap_or(cores), show)
+        let rows = run::run(&plan, &self.out, self.jobs.unwrap_or(cores), show_progress)
             .map_err(|e| format!("{out}: {e}"))?;
         publish::publish(&plan, &rows, &self.out).map_err(|e| format!("{out}: {e}"))?;
-        // References break rules by their nature (they know no slow start); their breaks stand in the table.
+        // Reference policies break rules by design, because they have no slow start. Their broken rules stand
+        // in the table, and only those of the decision module are an error.
         let broken: u64 = rows.iter().filter(|r| r.policy == Kind::Module).map(|r| r.broken).sum();
         let text = format!(
             "{}\n{} cells; results.csv, results.md and results.html are in {out}\n",
@@ -87,35 +90,35 @@
         );
         match broken {
             0 => Ok(text),
-            n => Err(format!("the module broke rules {n} times\n{text}")),
+            n => Err(format!("the decision module broke rules {n} times\n{text}")),
         }
     }
 }
 
-/// A load on any HTTP/1.1 service.
+/// Sends a load to any HTTP/1.1 service.
 #[derive(Args)]
 pub struct Load {
-    /// Where the service answers: http://HOST:PORT/PATH; the path is asked for where there is no mix
+    /// Address of the service: http://HOST:PORT/PATH; without a mix each request asks for the path
     url: String,
-    /// A mix of requests, in TOML (docs/load.md)
+    /// File with a mix of requests, in TOML (docs/load.md)
     #[arg(long)]
     mix: Option<PathBuf>,
-    /// Open loop: phases of RATE:TIME or FROM-TO:TIME, requests a second, separated by commas
-    #[arg(long, default_value = "100:10s", value_parser = phases)]
+    /// Open loop: phases of RATE:TIME or FROM-TO:TIME, separated by commas; rates are in requests per second
+    #[arg(long, default_value = "100:10s", value_parser = parse_phases)]
     rate: Phases,
-    /// Closed loop instead: so many clients that ask again once they are answered
+    /// Closed loop instead: this number of clients, each of which sends its next request after an answer
     #[arg(long, value_name = "CLIENTS")]
     closed: Option<usize>,
-    /// For how long the closed loop asks
+    /// How long the closed loop runs
     #[arg(long = "for", default_value = "10s", value_parser = humantime::parse_duration)]
     lasts: Duration,
-    /// The most connections
+    /// Most connections that are open at the same time
     #[arg(long, default_value_t = 1000)]
     connections: usize,
-    /// An answer must come within this
+    /// Time within which a request must be answered
     #[arg(long, default_value = "5s", value_parser = humantime::parse_duration)]
     timeout: Duration,
-    /// The seed
+    /// Seed of the random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print the report as JSON
@@ -126,7 +129,7 @@
 #[derive(Clone)]
 struct Phases(Vec<Phase>);
 
-fn phases(text: &str) -> Result<Phases, String> {
+fn parse_phases(text: &str) -> Result<Phases, String> {
     let phase = |part: &str| {
         let (rate, time) = part.split_once(':').ok_or("write a phase as RATE:TIME or FROM-TO:TIME")?;
         let number = |n: &str| {
@@ -143,20 +146,21 @@
 }
 
 impl Load {
-    /// The report; an answer that nobody had asked for, or a schedule that was not kept, is a failure.
+    /// Sends the load, and returns the report to print. It is an error when not each request got exactly one
+    /// answer, or when the generator did not keep its schedule.
     pub fn run(&self) -> Result<String, String> {
         let rest = self.url.strip_prefix("http://").ok_or("the address must begin with http://")?;
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        let named = if host.rsplit_once(':').is_some_and(|(_, p)| p.parse::<u16>().is_ok()) {
+        let host_and_port = if host.rsplit_once(':').is_some_and(|(_, p)| p.parse::<u16>().is_ok()) {
             host.to_string()
         } else {
             format!("{host}:80")
         };
-        let address: SocketAddr = named
+        let address: SocketAddr = host_and_port
             .to_socket_addrs()
-            .map_err(|e| format!("{named}: {e}"))?
+            .map_err(|e| format!("{host_and_port}: {e}"))?
             .next()
-            .ok_or_else(|| format!("{named}: no address"))?;
+            .ok_or_else(|| format!("{host_and_port}: the name has no address"))?;
         let mix = match &self.mix {
             None => Mix::plain(if path.is_empty() { "/" } else { path }),
             Some(file) => {
@@ -178,16 +182,18 @@
             timeout: self.timeout,
             seed: self.seed,
         };
-        let live = std::io::stderr().is_terminal();
-        let show = |p: &Progress| {
-            if live {
+        let is_terminal = std::io::stderr().is_terminal();
+        let show_progress = |progress: &Progress| {
+            if is_terminal {
                 eprint!("\r{:>5.0} s  {:>7} meant  {:>7} ok  {:>6} refused  {:>5} bad  {:>5} out  p50 {:>7.1}  p99 {:>7.1} ms ",
-                    p.elapsed.as_secs_f64(), p.meant, p.ok, p.refused, p.bad, p.out, p.p50_ms, p.p99_ms);
+                    progress.elapsed.as_secs_f64(), progress.meant, progress.ok, progress.refused, progress.bad,
+                    progress.out, progress.p50_ms, progress.p99_ms);
             }
             true
         };
-        let report = garnettally_load::run::run(plan, show).map_err(|e| format!("{named}: {e}"))?;
-        if live {
+        let report =
+            garnettally_load::run::run(plan, show_progress).map_err(|e| format!("{host_and_port}: {e}"))?;
+        if is_terminal {
             eprintln!();
         }
         let text = match self.json {
@@ -196,32 +202,32 @@
         };
         match (report.one_answer_each(), report.valid) {
             (true, true) => Ok(text),
-            (false, _) => Err(format!("not every request got one answer\n{text}")),
-            (_, false) => {
-                Err(format!("the schedule was not kept, so the figures are not those of this load\n{text}"))
-            }
+            (false, _) => Err(format!("not every request got exactly one answer\n{text}")),
+            (_, false) => Err(format!(
+                "the generator did not keep its schedule, so the figures are not those of this load\n{text}"
+            )),
         }
     }
 }
 
-/// A drill of a fleet by a script.
+/// Runs a drill of a fleet, as a script describes it.
 #[derive(Args)]
 pub struct Drill {
-    /// The script
+    /// File with the drill's script
     script: PathBuf,
-    /// Keep files, logs, `samples.csv` and `alive.svg` in this folder; else they are gone afterwards
+    /// Keep files, logs, `samples.csv` and `alive.svg` in this folder; without it they are removed afterwards
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Draw by this seed instead of the script's
+    /// Seed of the random draws, instead of the script's
     #[arg(long)]
     seed: Option<u64>,
-    /// So many members instead of the script's
+    /// Number of members, instead of the script's
     #[arg(long)]
     members: Option<usize>,
 }
 
 impl Drill {
-    /// The table and timeline; a broken invariant is a failure.
+    /// Runs the drill, and returns its table and timeline. A broken invariant is an error.
     pub fn run(&self) -> Result<String, String> {
         let file = self.script.display();
         let text = std::fs::read_to_string(&self.script).map_err(|e| format!("{file}: {e}"))?;
@@ -232,15 +238,15 @@
             script.check().map_err(|e| format!("{file}, with {n} members: {e}"))?;
         }
         let program = std::env::current_exe().map_err(|e| format!("this program's path: {e}"))?;
-        let own = std::env::temp_dir().join(format!("garnettally-drill-{}", std::process::id()));
-        let folder = self.out.as_ref().unwrap_or(&own);
-        let held = garnettally_drill::run(&script, &program, folder).map_err(|e| e.to_string());
-        let report = held.and_then(|report| match &self.out {
+        let temporary_folder = std::env::temp_dir().join(format!("garnettally-drill-{}", std::process::id()));
+        let folder = self.out.as_ref().unwrap_or(&temporary_folder);
+        let outcome = garnettally_drill::run(&script, &program, folder).map_err(|e| e.to_string());
+        let report = outcome.and_then(|report| match &self.out {
             Some(out) => report.keep(out).map(|()| report),
             None => Ok(report),
         });
         if self.out.is_none() {
-            let _ = std::fs::remove_dir_all(&own);
+            let _ = std::fs::remove_dir_all(&temporary_folder);
         }
         let report = report?;
         if report.passed() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! garnettally: a load balancer for services that call services. This file is the command line and the wiring.
+//! garnettally is a load balancer for services that call services. This file defines its command line and
+//! starts the command that was given.
 #![forbid(unsafe_code)]
 
 mod demo;
@@ -18,57 +19,58 @@
 
 /// A load balancer for services that call services.
 ///
-/// Without a command it serves what GW_CONFIG names, as the platform starts it.
+/// Without a command it serves the configuration that GW_CONFIG names, as the platform starts it.
 #[derive(Parser)]
-#[command(name = "garnettally", version, after_help = EXITS)]
+#[command(name = "garnettally", version, after_help = EXIT_STATUS_HELP)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-const EXITS: &str =
-    "Exit status: 0 done; 1 it failed, or the file or request was refused; 2 the command was wrong.";
+const EXIT_STATUS_HELP: &str =
+    "Exit status: 0 the command succeeded; 1 it failed, or the file or request was refused; 2 the command line was wrong.";
 
 #[derive(Subcommand)]
 enum Command {
     /// Serve until SIGTERM or SIGINT; SIGHUP reads the file again
     Serve {
-        /// The operator's file; without it GW_CONFIG names the platform's configuration
+        /// Path of the operator's file; without it GW_CONFIG names the platform's configuration
         file: Option<String>,
     },
-    /// Check an operator's file, and tell everything that is wrong with it at once
+    /// Check an operator's file, and report all its problems at once
     Check {
-        /// The operator's file
+        /// Path of the operator's file
         file: String,
     },
-    /// Tell which route, class, tenant, key and pools a request gets, and why
+    /// Show which route, class, tenant, key and pools a request gets, and why
     Explain(explain::Request),
     /// Print the JSON Schema of the operator's file
     Schema {
-        /// That of a file of nodes instead
+        /// Print the schema of a file of nodes instead
         #[arg(long)]
         nodes: bool,
     },
     /// Print a script that completes commands in a shell
     Completions {
-        /// The shell
+        /// Shell to print the script for
         shell: clap_complete::Shell,
     },
-    /// Run a world in virtual time, under the decision module or a reference, and check the rules
+    /// Run a world in virtual time, under the decision module or a reference policy, and check the rules
     Emulate(lab::Emulate),
-    /// Cross worlds, settings, policies and seeds, and write tables and charts
+    /// Run each combination of worlds, settings, policies and seeds, and write tables and charts
     Experiment(lab::Experiment),
     /// Start a small fleet, the balancer and clients on loopback, and show what happens
     Demo(demo::Demo),
-    /// Play a small world in virtual time and on sockets, and compare
+    /// Run a small world in virtual time and on sockets, and compare the service
     Agree(demo::Agree),
-    /// Play the first tier of a world on loopback sockets: nodes and discovery
+    /// Run the nodes of a world's first tier, and discovery, on loopback sockets
     Fleet(demo::Fleet),
-    /// Put a load on any HTTP/1.1 service, and check that each request gets one answer
+    /// Send a load to any HTTP/1.1 service, and check that each request gets exactly one answer
     Load(lab::Load),
     Members(members::Members),
     Duties(duties::Duties),
-    /// Hold a drill: several processes, a relay on every link between them, faults by a script, checks from outside
+    /// Run a drill: several processes, a relay on every link between them, scripted faults, checks from
+    /// outside
     Drill(lab::Drill),
     /// Print name and version
     Version,
@@ -89,14 +91,14 @@
         None | Some(Command::Serve { file: None }) => serve_platform(),
         Some(Command::Serve { file: Some(file) }) => serve_file(file),
         Some(Command::Check { file }) => {
-            let o = file::load(&file).map_err(|problems| refused(&file, &problems))?;
+            let operator = file::load(&file).map_err(|problems| refusal_message(&file, &problems))?;
             print(&format!(
                 "{file}: good; {} listeners, {} classes, {} tenants, {} pools, {} routes\n",
-                o.listeners.len(),
-                o.classes.len(),
-                o.tenants.len(),
-                o.pools.len(),
-                o.routes.len()
+                operator.listeners.len(),
+                operator.classes.len(),
+                operator.tenants.len(),
+                operator.pools.len(),
+                operator.routes.len()
             ))
         }
         Some(Command::Explain(request)) => print(&request.explain()?),
@@ -122,13 +124,13 @@
     }
 }
 
-/// Every problem on a line of its own, as it is told by [`file::load`].
-fn refused(file: &str, problems: &file::Problems) -> String {
+/// Formats the problems that [`file::load`] found, one on each line.
+fn refusal_message(file: &str, problems: &file::Problems) -> String {
     let n = problems.0.len();
     format!("{file} is refused: {n} problem{}\n{problems}", if n == 1 { "" } else { "s" })
 }
 
-/// Writes to standard output; a reader that has gone away is no failure.
+/// Writes to standard output. A reader that has closed its end is no error.
 fn print(text: &str) -> Result<(), String> {
     match std::io::stdout().lock().write_all(text.as_bytes()) {
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => Err(format!("standard output: {e}")),
@@ -136,27 +138,27 @@
     }
 }
 
-/// The signals are blocked before anything else: from here on none of them ends the process by itself, nor the
-/// log's thread, which inherits this. SIGXFSZ is among them: a log that has come to a limit on its size costs lines,
-/// not the process.
-fn signals() -> Result<Signals, String> {
+/// Blocks the signals that the event loop handles, before any thread starts: threads, such as the log's,
+/// inherit the block, so no such signal ends the process by its default action. SIGXFSZ is blocked so that a
+/// log that reaches a limit on its size loses lines and does not end the process.
+fn block_signals() -> Result<Signals, String> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ])
-        .map_err(|e| format!("signals: {e}"))
+        .map_err(|e| format!("signals can't be blocked: {e}"))
 }
 
 fn serve_platform() -> Result<(), String> {
-    let signals = signals()?;
+    let signals = block_signals()?;
     let config = Config::from_environment()?;
     let level = if config.debug_logging { slog::Level::Debug } else { slog::Level::Info };
     let plan = Plan::platform(config);
-    let log = logging::text(plan.limits.log_queue_lines, level);
+    let log = logging::text_logger(plan.limits.log_queue_lines, level);
     garnettally_serve::serve(plan, log, signals)
 }
 
 fn serve_file(path: String) -> Result<(), String> {
-    let signals = signals()?;
-    let operator = file::load(&path).map_err(|problems| refused(&path, &problems))?;
-    let log = logging::of(&operator.logging);
+    let signals = block_signals()?;
+    let operator = file::load(&path).map_err(|problems| refusal_message(&path, &problems))?;
+    let log = logging::logger_from_settings(&operator.logging);
     let plan = Plan::operator(path, operator, fastrand::u64(..));
     garnettally_serve::serve(plan, log, signals)
 }
--- a/src/members.rs
+++ b/src/members.rs
@@ -1,4 +1,5 @@
-//! `garnettally members`: the fleet as a running process sees it.
+//! `garnettally members` asks a running process for its view of the fleet's members, and of their verdicts on
+//! nodes.
 
 use clap::Args;
 use garnettally_drill::http;
@@ -7,42 +8,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ask a running process for the members of its fleet
+/// Show the members of its fleet as a running process reports them
 #[derive(Args)]
 pub struct Members {
-    /// Its admin address
+    /// Admin address of the process
     admin: SocketAddr,
     /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
 
-/// How long an answer may take in all.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// A call to the admin address, including its answer, must be complete within this time.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Members {
-    /// Asks, and gives what is to be printed.
+    /// Sends the call to the process, and returns the text to print.
     pub fn run(&self) -> Result<String, String> {
-        let told = |e: &str| format!("{}: {e}", self.admin);
-        let body = match http::get(self.admin, "/members", PATIENCE).map_err(|e| told(&e))? {
+        let with_address = |e: &str| format!("{}: {e}", self.admin);
+        let body = match http::get(self.admin, "/members", ADMIN_TIMEOUT).map_err(|e| with_address(&e))? {
             (200, body) => body,
-            (404, _) => return Err(told("this process has no [fleet] in its file")),
-            (status, _) => return Err(told(&format!("answered {status}"))),
+            (404, _) => return Err(with_address("this process has no [fleet] in its file")),
+            (status, _) => return Err(with_address(&format!("answered {status}"))),
         };
         if self.json {
             return Ok(body + "\n");
         }
-        let told: Value =
+        let reply: Value =
             serde_json::from_str(&body).map_err(|e| format!("{}: not understood: {e}", self.admin))?;
-        Ok(table(&told))
+        Ok(format_table(&reply))
     }
 }
 
-fn table(told: &Value) -> String {
+fn format_table(reply: &Value) -> String {
     let text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
     let columns = ["name", "zone", "address", "state", "generation", "life"];
     let mut rows: Vec<Vec<String>> = vec![columns.iter().map(|c| c.to_string()).collect()];
-    for member in told["members"].as_array().into_iter().flatten() {
+    for member in reply["members"].as_array().into_iter().flatten() {
         rows.push(columns.iter().map(|c| text(&member[*c])).collect());
     }
     let width = |i: usize| rows.iter().map(|r| r[i].chars().count()).max().unwrap_or(0);
@@ -52,27 +53,27 @@
         let cells: Vec<String> = row.iter().zip(&widths).map(|(c, w)| format!("{c:w$}")).collect();
         let _ = writeln!(out, "{}", cells.join("  ").trim_end());
     }
-    let verdicts = told["verdicts"].as_array().map_or(&[][..], Vec::as_slice);
+    let verdicts = reply["verdicts"].as_array().map_or(&[][..], Vec::as_slice);
     if !verdicts.is_empty() {
-        let _ = writeln!(out, "\nwhat members found out about nodes; {} acted on here", told["acted_on"]);
+        let _ = writeln!(out, "\nwhat members found out about nodes; {} acted on here", reply["acted_on"]);
     }
-    for v in verdicts {
-        let class = v["class"].as_str().map_or(String::new(), |c| format!(" for {c}"));
+    for verdict in verdicts {
+        let class = verdict["class"].as_str().map_or(String::new(), |c| format!(" for {c}"));
         let _ = writeln!(
             out,
             "{}/{}{class}: {} ({}), {} ms old, by {}",
-            text(&v["pool"]),
-            text(&v["node"]),
-            text(&v["what"]),
-            v["bad"],
-            v["age_ms"],
-            text(&v["by"])
+            text(&verdict["pool"]),
+            text(&verdict["node"]),
+            text(&verdict["what"]),
+            verdict["bad"],
+            verdict["age_ms"],
+            text(&verdict["by"])
         );
     }
     let _ = writeln!(
         out,
         "\n{} alive, taken for {}; {} facts, void after {} ms; away {} times, stood still {} times",
-        told["alive"], told["size"], told["facts"], told["max_age_ms"], told["away"], told["stalls"]
+        reply["alive"], reply["size"], reply["facts"], reply["max_age_ms"], reply["away"], reply["stalls"]
     );
     out
 }
