--- a/benches/throughput.rs
+++ b/benches/throughput.rs
@@ -1,8 +1,9 @@
-//! What the whole program carries with one route of an operator's file, against the same program on the platform's
-//! configuration with a resolution of 0, and what a fleet link costs: interleaved slices in one run, the medians of
-//! their ratios.
+//! Compares the throughput of the whole program with one route of an operator's file against that of the same
+//! program on the platform's configuration with a resolution of 0, and measures the cost of a fleet link.
+//! Each comparison runs interleaved slices of both programs, and prints the medians of their ratios.
 //!
-//! `cargo bench --bench throughput -- [slices] [connections]`; 15 slices of 1 s each and 16 connections by default.
+//! `cargo bench --bench throughput -- [slices] [connections]`; 15 slices of 1 s each and 16 connections by
+//! default.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -12,10 +13,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The answer of the node to each request, with a body of 64 bytes.
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n0123456789012345678901234567890123456789012345678901234567890123";
 
-/// A node that answers every head it reads.
-fn node() -> SocketAddr {
+/// Starts a node that answers each request head it reads, and returns its address.
+fn start_node() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -49,10 +51,10 @@
     }
 }
 
-fn start(text: &str, name: &str, platform: bool) -> Program {
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = free.local_addr().unwrap();
-    drop(free);
+fn start_program(text: &str, name: &str, platform: bool) -> Program {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    drop(listener);
     let path = std::env::temp_dir().join(format!("garnettally-bench-{}-{name}", std::process::id()));
     std::fs::write(&path, text.replace("LISTEN", &address.to_string())).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnettally"));
@@ -64,31 +66,32 @@
     let program = Program { child, address };
     let end = Instant::now() + Duration::from_secs(20);
     while TcpStream::connect(address).is_err() {
-        assert!(Instant::now() < end, "it does not start");
+        assert!(Instant::now() < end, "the program did not listen within 20 s");
         thread::sleep(Duration::from_millis(10));
     }
-    thread::sleep(Duration::from_millis(500)); // its list is told
+    thread::sleep(Duration::from_millis(500)); // time in which the program gets its list of upstreams
     let _ = std::fs::remove_file(path);
     program
 }
 
-/// What was carried in a slice.
+/// The load that a program served in one slice.
 #[derive(Clone, Copy)]
-struct Carried {
-    /// Requests a second.
+struct SliceResult {
+    /// Answered requests per second, without refused ones.
     rate: f64,
-    /// The time that 99 in 100 took no longer than, in microseconds.
+    /// The 99th percentile of the time of answered requests, in microseconds.
     p99: f64,
-    /// The part that was refused.
+    /// The fraction of requests that were refused, from 0 to 1.
     refused: f64,
 }
 
-/// What so many clients, one request after another each, get answered in a time.
-fn carried(address: SocketAddr, connections: usize, time: Duration) -> Carried {
+/// Runs this number of clients for this time, each of which sends one request after another, and returns the
+/// result.
+fn measure(address: SocketAddr, connections: usize, time: Duration) -> SliceResult {
     let done = Arc::new(AtomicBool::new(false));
     let start = Instant::now();
     let clients: Vec<_> = (0..connections)
-        .map(|c| {
+        .map(|client| {
             let done = done.clone();
             thread::spawn(move || {
                 let stream = TcpStream::connect(address).unwrap();
@@ -96,19 +99,20 @@
                 stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
                 let mut input = BufReader::new(stream.try_clone().unwrap());
                 let mut output = stream;
-                let (mut line, mut body, mut n) = (String::new(), [0; 64], 0u64);
+                let (mut line, mut body, mut request_number) = (String::new(), [0; 64], 0u64);
                 let (mut times, mut refused): (Vec<u32>, usize) = (Vec::new(), 0);
                 while !done.load(Ordering::Relaxed) {
-                    n += 1;
+                    request_number += 1;
                     let request = format!(
-                        "GET /look/part HTTP/1.1\r\nHost: app.test\r\nReq-Id: {c:x}-{n:x}-{address}\r\nReq-Owner: acme\r\nReq-Deadline: 1.5\r\n\r\n"
+                        "GET /look/part HTTP/1.1\r\nHost: app.test\r\nReq-Id: {client:x}-{request_number:x}-{address}\r\nReq-Owner: acme\r\nReq-Deadline: 1.5\r\n\r\n"
                     );
-                    let asked = Instant::now();
+                    let sent_at = Instant::now();
                     output.write_all(request.as_bytes()).unwrap();
                     line.clear();
                     input.read_line(&mut line).unwrap();
                     let served = line.starts_with("HTTP/1.1 200");
-                    // One node under as many clients as go: the limit may refuse some, which is told, and no failure.
+                    // With many clients on one node the concurrency limit may refuse some requests. The
+                    // results report them, and they are no failure.
                     assert!(served || line.starts_with("HTTP/1.1 503"), "{line}");
                     while line != "\r\n" {
                         line.clear();
@@ -119,7 +123,7 @@
                         continue;
                     }
                     input.read_exact(&mut body).unwrap();
-                    times.push(asked.elapsed().as_micros() as u32);
+                    times.push(sent_at.elapsed().as_micros() as u32);
                 }
                 (times, refused)
             })
@@ -129,32 +133,37 @@
     done.store(true, Ordering::Relaxed);
     let took = start.elapsed().as_secs_f64();
     let (mut times, mut refused) = (Vec::new(), 0);
-    for (mine, no) in clients.into_iter().map(|c| c.join().unwrap()) {
-        times.extend(mine);
-        refused += no;
+    for (client_times, client_refused) in clients.into_iter().map(|c| c.join().unwrap()) {
+        times.extend(client_times);
+        refused += client_refused;
     }
     times.sort_unstable();
     let p99 = f64::from(times[times.len() * 99 / 100]);
-    Carried { rate: times.len() as f64 / took, p99, refused: refused as f64 / (refused + times.len()) as f64 }
+    SliceResult {
+        rate: times.len() as f64 / took,
+        p99,
+        refused: refused as f64 / (refused + times.len()) as f64,
+    }
 }
 
-/// Interleaved slices of two programs, and the medians of their ratios.
-fn compare(what: &str, one: &Program, other: &Program, connections: usize, slices: usize) {
+/// Runs interleaved slices of two programs, and prints the medians, minima and maxima of the ratios of the
+/// second to the first.
+fn compare(title: &str, first: &Program, second: &Program, connections: usize, slices: usize) {
     let slice = Duration::from_secs(1);
-    carried(one.address, connections, slice);
-    carried(other.address, connections, slice);
-    let pairs: Vec<(Carried, Carried)> = (0..slices)
-        .map(|_| (carried(one.address, connections, slice), carried(other.address, connections, slice)))
+    measure(first.address, connections, slice);
+    measure(second.address, connections, slice);
+    let pairs: Vec<(SliceResult, SliceResult)> = (0..slices)
+        .map(|_| (measure(first.address, connections, slice), measure(second.address, connections, slice)))
         .collect();
-    let median = |of: &dyn Fn(&(Carried, Carried)) -> f64| {
-        let mut all: Vec<f64> = pairs.iter().map(of).collect();
+    let median = |figure: &dyn Fn(&(SliceResult, SliceResult)) -> f64| {
+        let mut all: Vec<f64> = pairs.iter().map(figure).collect();
         all.sort_by(f64::total_cmp);
         (all[slices / 2], all[0], all[slices - 1])
     };
     let (rate, low, high) = median(&|(a, b)| b.rate / a.rate);
     let (p99, fast, slow) = median(&|(a, b)| b.p99 / a.p99);
     println!(
-        "{what}, {connections} connections, {slices} slices: throughput {rate:.3} of it ({low:.3} to {high:.3}), \
+        "{title}, {connections} connections, {slices} slices: throughput {rate:.3} of it ({low:.3} to {high:.3}), \
          p99 {p99:.3} of it ({fast:.3} to {slow:.3}); {:.0} requests a second; refused {:.5} and {:.5}",
         median(&|(a, _)| a.rate).0,
         median(&|(a, _)| a.refused).2,
@@ -165,7 +174,7 @@
 fn main() {
     let mut numbers = std::env::args().skip(1).filter_map(|a| a.parse::<usize>().ok());
     let (slices, connections) = (numbers.next().unwrap_or(15), numbers.next().unwrap_or(16));
-    let node = node();
+    let node = start_node();
     let platform = include_str!("../deploy/example.json")
         .replace("127.0.0.1:9000", "LISTEN")
         .replace("127.0.0.1:9101", &node.to_string())
@@ -176,20 +185,21 @@
          deadline = \"1500ms\"\n[tenants.acme]\n[pools.p]\nattempts = 5\ninstances = 1\nnodes = [{{ name = \"s-1\", address = \"{node}\" }}]\n\
          [[routes]]\nname = \"all\"\npath_prefix = \"/\"\nclass = \"look\"\npool = \"p\"\ntenant = {{ header = \"Req-Owner\" }}\n"
     );
-    let alone = operator.clone();
-    let (platform, operator) = (start(&platform, "platform", true), start(&operator, "operator", false));
+    let operator_text = operator.clone();
+    let (platform, operator) =
+        (start_program(&platform, "platform", true), start_program(&operator, "operator", false));
     compare("one route against the platform's configuration", &platform, &operator, connections, slices);
-    // The same file with a link to four members that serve nothing: what the fleet costs the data path. The pool says
-    // itself that nobody shares it, or a fifth of its limit would be left.
-    let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let links: Vec<SocketAddr> = (0..5).map(|_| free()).collect();
+    // The same file with a link to four members that serve nothing shows what the fleet costs the data path.
+    // The pool sets `instances` to 1, because otherwise the member would use a fifth of its limit.
+    let free_address = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let links: Vec<SocketAddr> = (0..5).map(|_| free_address()).collect();
     let members: Vec<Program> = links
         .iter()
         .enumerate()
         .map(|(i, link)| {
             let fleet =
                 format!("[fleet]\naddress = \"{link}\"\nname = \"m{i}\"\nseeds = [\"{}\"]\n", links[0]);
-            start(&format!("{alone}{fleet}"), &format!("member-{i}"), false)
+            start_program(&format!("{operator_text}{fleet}"), &format!("member-{i}"), false)
         })
         .collect();
     compare("the link with five members against none", &operator, &members[0], connections, slices);
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,5 +1,5 @@
-//! The admin address: operators' calls beside clients, the drain they drive, and a second process beside the
-//! first on the same client address.
+//! Tests of the admin address: operators' calls while clients are served, drains, settings reloaded by
+//! SIGHUP, and a second process that listens on the same client address.
 
 mod support;
 
@@ -7,81 +7,83 @@
 use std::time::Instant;
 use support::*;
 
-/// A balancer with an admin address of its own.
-fn with_admin(discovery: &Discovery, known: &[String]) -> (Balancer, SocketAddr) {
+/// Starts a balancer with an admin address of its own, and returns both.
+fn start_with_admin(discovery: &Discovery, known: &[String]) -> (Balancer, SocketAddr) {
     let (address, admin) = (free_address(), free_address());
     let text = config(address, discovery.address, 256, known);
-    let b = Balancer::spawn(address, &text, |c| {
-        c.env("GW_ADMIN_ADDR", admin.to_string());
+    let balancer = Balancer::spawn(address, &text, |command| {
+        command.env("GW_ADMIN_ADDR", admin.to_string());
     });
-    (b, admin)
+    (balancer, admin)
 }
 
 fn call(admin: SocketAddr, method: &str, path: &str) -> Message {
-    let mut c = Client::connect(admin).expect("the admin address listens");
-    c.ask(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"))
+    let mut client = Client::connect(admin).expect("the admin address listens");
+    client.ask(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// Guards against a drain that closes the listener, resets kept connections, or never ends.
+/// Guards against a drain that closes the listener, resets open connections, or never ends.
 #[test]
-fn a_drain_says_no_closes_between_requests_and_ends_on_ok() {
-    let up = Upstream::start(|_| ok("done"));
+fn a_drain_fails_health_checks_closes_idle_connections_and_ends_on_ok() {
+    let upstream = Upstream::start(|_| ok("done"));
     let discovery = Discovery::start();
-    let (b, admin) = with_admin(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let (balancer, admin) = start_with_admin(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     assert_eq!(call(admin, "GET", "/healthcheck").status(), 200);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
+    let mut connection = balancer.client();
+    assert_eq!(connection.ask(&look("1.2")).status(), 200);
     assert_eq!(call(admin, "PUT", "/healthcheck/fail").status(), 200);
-    assert_eq!(b.ask(READY).status(), 503);
+    assert_eq!(balancer.ask(READY).status(), 503);
     assert_eq!(call(admin, "GET", "/healthcheck").status(), 503);
-    // The kept connection is still served, and told to close with its answer.
-    let answer = kept.ask(&look("1.2"));
+    // An open connection is still served, and its answer asks the client to close it.
+    let answer = connection.ask(&look("1.2"));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(kept.answer().is_none(), "the connection ends after its answer");
-    // An idle connection is closed by the balancer, not held.
-    let mut idle = b.client();
+    assert!(connection.answer().is_none(), "the connection ends after its answer");
+    // The balancer closes an idle connection.
+    let mut idle = balancer.client();
     assert_eq!(idle.ask(&look("1.2")).status(), 200);
-    let mut idle = b.client();
+    let mut idle = balancer.client();
     until("the idle connection's end", || idle.answer().is_none());
     assert_eq!(call(admin, "PUT", "/healthcheck/ok").status(), 200);
-    until("readiness again", || b.ask(READY).status() == 200);
+    until("readiness again", || balancer.ask(READY).status() == 200);
     assert_eq!(call(admin, "GET", "/healthcheck").status(), 200);
     assert_eq!(call(admin, "GET", "/nothing").status(), 404);
     assert_eq!(call(admin, "DELETE", "/stats").status(), 405);
 }
 
-/// Guards against operators starved by callers that hold admin connections with no whole call.
+/// Guards against operators who get no answer because other clients keep admin connections open without a
+/// whole call.
 #[test]
-fn calls_are_answered_beside_callers_that_never_finish() {
-    let up = Upstream::start(|_| ok("done"));
+fn admin_calls_are_answered_while_other_connections_never_finish_theirs() {
+    let upstream = Upstream::start(|_| ok("done"));
     let discovery = Discovery::start();
-    let (_b, admin) = with_admin(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let holders: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(admin).unwrap()).collect();
+    let (_balancer, admin) = start_with_admin(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let unfinished: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(admin).unwrap()).collect();
     for _ in 0..5 {
         let asked = Instant::now();
         let stats = call(admin, "GET", "/stats");
         assert_eq!(stats.status(), 200);
         let text = String::from_utf8_lossy(&stats.body).to_string();
         assert!(text.lines().any(|l| l.starts_with("edge_gw.pending:") && l.ends_with("|g")), "{text}");
-        // Generous, as a bound against a call that waits behind the holders' deadlines.
+        // The bound is generous: it only has to detect a call that waits for the other connections'
+        // deadlines.
         assert!(asked.elapsed().as_secs_f64() < 5.0);
     }
-    drop(holders);
+    drop(unfinished);
 }
 
-/// Guards against a replacement that can't start: the second process binds the same client address.
+/// Guards against a replacement process that can't start: it binds the same client address as the first.
 #[test]
 fn a_second_process_listens_on_the_same_client_address() {
-    let up = Upstream::start(|_| ok("done"));
+    let upstream = Upstream::start(|_| ok("done"));
     let discovery = Discovery::start();
-    let known = [host("s", up.address, 0, "SERVING")];
-    let (first, _) = with_admin(&discovery, &known);
+    let known = [host("s", upstream.address, 0, "SERVING")];
+    let (first, _) = start_with_admin(&discovery, &known);
     let admin = free_address();
     let text = config(first.address, discovery.address, 256, &known);
     let mut second = program(&text);
     second.env("GW_ADMIN_ADDR", admin.to_string());
     let mut second = second.spawn().unwrap();
-    until("the second one's yes", || {
+    until("the second process to be healthy", || {
         Client::connect(admin).is_some() && call(admin, "GET", "/healthcheck").status() == 200
     });
     assert!(second.try_wait().unwrap().is_none(), "the second process runs");
@@ -92,60 +94,65 @@
     let _ = second.wait();
 }
 
-fn figure(text: &str, name: &str) -> Option<u64> {
+fn statistic(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find(|l| l.split(':').next() == Some(name))?;
     line.split(':').nth(1)?.split('|').next()?.parse().ok()
 }
 
-/// Guards against figures that are missing, or counted in the wrong place: each answer once, under its class.
+/// Guards against statistics that are missing or counted in the wrong place: each answer counts once, under
+/// its class.
 #[test]
-fn the_figures_count_what_clients_and_upstreams_saw() {
-    let up = Upstream::start(|_| ok("done"));
+fn statistics_match_the_answers_of_clients_and_the_requests_of_upstreams() {
+    let upstream = Upstream::start(|_| ok("done"));
     let discovery = Discovery::start();
-    let (b, admin) = with_admin(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let (balancer, admin) = start_with_admin(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
     for _ in 0..7 {
         assert_eq!(client.ask(&look("1.2")).status(), 200);
     }
     let text = String::from_utf8_lossy(&call(admin, "GET", "/stats").body).to_string();
-    assert_eq!(figure(&text, "edge_gw.downstream_requests.look.completed"), Some(7), "{text}");
-    assert_eq!(figure(&text, "edge_gw.downstream_requests.look.failed"), Some(0), "{text}");
-    assert_eq!(figure(&text, "edge_gw.upstream_requests"), Some(up.count() as u64), "{text}");
-    assert_eq!(figure(&text, "edge_gw.pending"), Some(0), "{text}");
-    assert_eq!(figure(&text, "edge_gw.members"), Some(1), "{text}");
-    b.signal("HUP");
+    assert_eq!(statistic(&text, "edge_gw.downstream_requests.look.completed"), Some(7), "{text}");
+    assert_eq!(statistic(&text, "edge_gw.downstream_requests.look.failed"), Some(0), "{text}");
+    assert_eq!(statistic(&text, "edge_gw.upstream_requests"), Some(upstream.count() as u64), "{text}");
+    assert_eq!(statistic(&text, "edge_gw.pending"), Some(0), "{text}");
+    assert_eq!(statistic(&text, "edge_gw.members"), Some(1), "{text}");
+    balancer.signal("HUP");
     until("the reload counted", || {
         let text = String::from_utf8_lossy(&call(admin, "GET", "/stats").body).to_string();
-        figure(&text, "edge_gw.config_reloads") == Some(1)
+        statistic(&text, "edge_gw.config_reloads") == Some(1)
     });
 }
 
-/// Guards against settings that wait for a restart: a class added at SIGHUP is served, and a broken file changes
-/// nothing but the count of errors.
+/// Guards against settings that only a restart applies: a class that is added at SIGHUP is served, and a
+/// broken file changes nothing but the count of errors.
 #[test]
-fn new_settings_at_sighup_bring_a_class_and_a_broken_file_changes_nothing() {
-    let up = Upstream::start(|_| ok("done"));
+fn sighup_adds_a_class_and_a_broken_file_changes_nothing() {
+    let upstream = Upstream::start(|_| ok("done"));
     let discovery = Discovery::start();
-    let known = [host("s", up.address, 0, "SERVING")];
-    let (b, admin) = with_admin(&discovery, &known);
-    let peek = || look("1.2").replace("/look/", "/peek/");
-    assert_eq!(b.ask(&peek()).status(), 404, "the class is not known yet");
-    let text = config(b.address, discovery.address, 256, &known);
-    let grade = r#"{"HardLimitUs":1500000,"KeyScope":"all","LateWorth":0.0,"Name":"look""#;
-    let added = text.replacen(grade, &format!("{},{grade}", grade.replace("look", "peek") + "}"), 1);
+    let known = [host("s", upstream.address, 0, "SERVING")];
+    let (balancer, admin) = start_with_admin(&discovery, &known);
+    let peek_request = || look("1.2").replace("/look/", "/peek/");
+    assert_eq!(balancer.ask(&peek_request()).status(), 404, "the class is not known yet");
+    let text = config(balancer.address, discovery.address, 256, &known);
+    let class_settings = r#"{"HardLimitUs":1500000,"KeyScope":"all","LateWorth":0.0,"Name":"look""#;
+    let added = text.replacen(
+        class_settings,
+        &format!("{},{class_settings}", class_settings.replace("look", "peek") + "}"),
+        1,
+    );
     let added =
         added.replacen(r#""Name":"peek"}"#, r#""Name":"peek","Semantics":"safe","SloUs":1500000}"#, 1);
-    std::fs::write(&b.config, &added).unwrap();
-    b.signal("HUP");
-    until("the new class is served", || b.ask(&peek()).status() == 200);
-    assert_eq!(b.ask(&look("1.2")).status(), 200);
-    std::fs::write(&b.config, &added[..added.len() / 2]).unwrap();
-    b.signal("HUP");
+    std::fs::write(&balancer.config, &added).unwrap();
+    balancer.signal("HUP");
+    until("the new class is served", || balancer.ask(&peek_request()).status() == 200);
+    assert_eq!(balancer.ask(&look("1.2")).status(), 200);
+    std::fs::write(&balancer.config, &added[..added.len() / 2]).unwrap();
+    balancer.signal("HUP");
     until("the broken file counted", || {
         let text = String::from_utf8_lossy(&call(admin, "GET", "/stats").body).to_string();
-        figure(&text, "edge_gw.config_reload_errors") == Some(1)
+        statistic(&text, "edge_gw.config_reload_errors") == Some(1)
     });
     for _ in 0..5 {
-        assert_eq!((b.ask(&peek()).status(), b.ask(&look("1.2")).status()), (200, 200));
+        assert_eq!((balancer.ask(&peek_request()).status(), balancer.ask(&look("1.2")).status()), (200, 200));
     }
 }
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -1,4 +1,5 @@
-//! The real program, talked to over sockets as clients, upstreams and discovery would.
+//! Tests of the whole program on the platform's configuration. The tests act as its clients, upstreams and
+//! discovery, over sockets.
 
 mod support;
 
@@ -10,33 +11,34 @@
 
 #[test]
 fn a_request_and_its_answer_pass_unchanged() {
-    let up = Upstream::start(|_| {
+    let upstream = Upstream::start(|_| {
         Reply::Bytes(b"HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=1, util=0.2\r\nX-Kept: yes\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n".to_vec())
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
     let request = book("2.5", "a body\r\n");
     let answer = client.ask(&request);
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"abcde"[..]));
     assert_eq!(answer.header("x-kept"), Some("yes"));
-    let got = up.got.lock().unwrap()[0].clone();
+    let got = upstream.got.lock().unwrap()[0].clone();
     assert_eq!(got.start, "POST /book?key=91f03b7c55d20a64 HTTP/1.1");
     assert_eq!(got.body, b"a body\r\n");
     assert_eq!(got.header("idempotency-key"), Some("5c0f6e1a"));
     assert!(request.contains(&format!("Req-Id: {}\r\n", got.header("req-id").unwrap())));
     let left: f64 = got.header("req-deadline").unwrap().parse().unwrap();
     assert!(left > 0.0 && left <= 2.5, "{left}");
-    // Both connections serve the next request, too, once the upstream's has rested.
+    // Both connections also carry the next request, once the upstream's connection has been idle for a
+    // moment.
     std::thread::sleep(Duration::from_millis(40));
     let answer = client.ask(&look("1.2"));
-    assert_eq!((answer.status(), up.opened.load(Ordering::SeqCst)), (200, 1));
-    assert_eq!(up.got.lock().unwrap()[1].start, "GET /look/part?key=91f03b7c55d20a64&x=1 HTTP/1.1");
+    assert_eq!((answer.status(), upstream.opened.load(Ordering::SeqCst)), (200, 1));
+    assert_eq!(upstream.got.lock().unwrap()[1].start, "GET /look/part?key=91f03b7c55d20a64&x=1 HTTP/1.1");
 }
 
-/// Guards against load reports that are passed over: upstreams wrote `rif`, and only `inflight` was read.
+/// Guards against load reports that are ignored: upstreams wrote `rif`, and only `inflight` was read.
 #[test]
-fn reports_of_load_are_heeded_under_either_name() {
+fn load_reports_are_used_under_either_name() {
     for name in ["rif", "inflight"] {
         let reporting = |load: u32| {
             let answer = format!(
@@ -47,8 +49,8 @@
         let (loaded, free) = (reporting(60), reporting(0));
         let discovery = Discovery::start();
         let hosts = [host("l", loaded.address, 0, "SERVING"), host("f", free.address, 0, "SERVING")];
-        let b = Balancer::start(&discovery, &hosts);
-        let mut client = b.client();
+        let balancer = Balancer::start(&discovery, &hosts);
+        let mut client = balancer.client();
         for _ in 0..100 {
             assert_eq!(client.ask(&look("1.2")).status(), 200);
         }
@@ -56,12 +58,13 @@
     }
 }
 
-/// Guards against a panic, which ends the process, and against a connection read on in the wrong place.
+/// Guards against a panic, which ends the process, and against reading the next request of a connection from
+/// a wrong offset after invalid input.
 #[test]
 fn bad_input_is_answered_and_the_connection_closed() {
-    let up = Upstream::start(|_| ok("x"));
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     let head = "Host: a\r\nReq-Id: 1\r\nReq-Deadline: 1\r\n";
     let keyed = format!("{head}Idempotency-Key: 1\r\n");
     let long = "a".repeat(20_000);
@@ -87,78 +90,83 @@
         (431, format!("GET /look HTTP/1.1\r\n{head}X: {long}\r\n\r\n")),
     ];
     for (status, text) in cases {
-        let mut client = b.client();
+        let mut client = balancer.client();
         assert_eq!(client.ask(&text).status(), status, "{text:.80}");
         assert!(client.answer().is_none(), "still open after {text:.80}");
     }
-    assert_eq!(up.count(), 0);
-    assert_eq!(b.ask(&look("1.2")).status(), 200);
+    assert_eq!(upstream.count(), 0);
+    assert_eq!(balancer.ask(&look("1.2")).status(), 200);
 }
 
-/// Guards against a second effect: once an attempt may have run, a keyed request stays in its cell.
+/// Guards against a second effect of a keyed request: once an attempt may have run, retries stay in its cell,
+/// because only that cell's upstreams can recognize the key.
 #[test]
-fn a_keyed_request_is_repeated_in_its_cell_alone() {
+fn a_keyed_request_is_retried_only_in_its_cell() {
     let cut = |_: &Message| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec());
-    let ups = [Upstream::start(cut), Upstream::start(cut), Upstream::start(cut), Upstream::start(cut)];
+    let upstreams = [Upstream::start(cut), Upstream::start(cut), Upstream::start(cut), Upstream::start(cut)];
     let hosts: Vec<_> =
-        (0..4).map(|i| host(&format!("s{i}"), ups[i].address, i as u32 / 2, "SERVING")).collect();
+        (0..4).map(|i| host(&format!("s{i}"), upstreams[i].address, i as u32 / 2, "SERVING")).collect();
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &hosts);
-    let answer = b.ask(&book("3", "x"));
-    assert_eq!(answer.status(), 502, "it may have run: no refusal");
-    let counts: Vec<_> = ups.iter().map(Upstream::count).collect();
+    let balancer = Balancer::start(&discovery, &hosts);
+    let answer = balancer.ask(&book("3", "x"));
+    assert_eq!(answer.status(), 502, "an attempt may have run, so the answer is no refusal");
+    let counts: Vec<_> = upstreams.iter().map(Upstream::count).collect();
     assert!(counts[0] + counts[1] == 0 || counts[2] + counts[3] == 0, "{counts:?}");
     assert!(counts.iter().sum::<usize>() > 1, "{counts:?}");
 }
 
-/// Guards against taking an outcome for another: what never ran may go to another cell, even when keyed.
+/// Guards against mistaking the outcome of an attempt: one that never ran may be retried in another cell,
+/// even for a keyed request.
 #[test]
-fn what_never_ran_is_tried_elsewhere() {
+fn a_keyed_attempt_that_never_ran_is_retried_on_another_node() {
     let declined = AtomicBool::new(false);
-    let good = Upstream::start(move |_| match declined.swap(true, Ordering::SeqCst) {
+    let declining_once = Upstream::start(move |_| match declined.swap(true, Ordering::SeqCst) {
         false => error(503, "Srv-Declined: 1\r\n"),
         true => ok("served"),
     });
-    let nobody = free_address();
+    let unused_address = free_address();
     let discovery = Discovery::start();
-    let hosts = [host("g", good.address, 0, "SERVING"), host("n", nobody, 1, "SERVING")];
-    let b = Balancer::start(&discovery, &hosts);
-    let answer = b.ask(&book("3", "x"));
-    assert_eq!((answer.status(), &answer.body[..], good.count()), (200, &b"served"[..], 2));
+    let hosts = [host("g", declining_once.address, 0, "SERVING"), host("n", unused_address, 1, "SERVING")];
+    let balancer = Balancer::start(&discovery, &hosts);
+    let answer = balancer.ask(&book("3", "x"));
+    assert_eq!((answer.status(), &answer.body[..], declining_once.count()), (200, &b"served"[..], 2));
 }
 
-/// Guards against a hung upstream: no reset tells of it, and the client must have its answer in time.
+/// Guards against waiting for a hung upstream: no reset reports that it hangs, and the client still needs an
+/// answer before the deadline.
 #[test]
-fn silence_ends_with_an_answer_in_time_and_a_closed_connection() {
-    let up = Upstream::start(|_| Reply::Silence);
+fn a_hung_upstream_ends_in_an_answer_in_time_and_a_closed_connection() {
+    let upstream = Upstream::start(|_| Reply::Silence);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     let start = Instant::now();
-    let answer = b.ask(&look("0.6"));
+    let answer = balancer.ask(&look("0.6"));
     assert!(matches!(answer.status(), 502 | 503), "{}", answer.start);
-    // Well before the class's own limit, on a slow machine too.
+    // The bound is below the class's own limit of 1.5 s, and leaves a slow machine time beyond the deadline
+    // of 0.6 s.
     assert!(start.elapsed() < Duration::from_millis(1400), "{:?}", start.elapsed());
     until("the attempt's connection closed", || {
-        up.ended.load(Ordering::SeqCst) == up.opened.load(Ordering::SeqCst)
+        upstream.ended.load(Ordering::SeqCst) == upstream.opened.load(Ordering::SeqCst)
     });
 }
 
-/// Guards against work for nobody: the attempt of a client that left is called off.
+/// Guards against upstreams that work for a client that has disconnected: its attempt is cancelled.
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
-    let up = Upstream::start(|_| Reply::Silence);
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
+    let upstream = Upstream::start(|_| Reply::Silence);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
     client.send(&book("6", "x"));
-    until("the attempt", || up.count() == 1);
+    until("the attempt", || upstream.count() == 1);
     client.stream.shutdown(Shutdown::Both).unwrap();
-    until("its end", || up.ended.load(Ordering::SeqCst) == 1);
+    until("the end of the attempt's connection", || upstream.ended.load(Ordering::SeqCst) == 1);
 }
 
-/// Guards against nonsense from upstreams: a failed attempt, not a crash, and never an answer half made up.
+/// Guards against malformed answers of upstreams: each is a failed attempt, and causes neither a crash nor an
+/// answer that the balancer partly invents.
 #[test]
-fn an_answer_that_makes_no_sense_is_a_failed_attempt() {
+fn a_malformed_answer_is_a_failed_attempt() {
     let big = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on".to_vec();
     let bad = [
         b"\0\0\r\n\r\n".to_vec(),
@@ -166,177 +174,183 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n".to_vec(),
     ];
     for bytes in bad {
-        let up = Upstream::start(move |_| Reply::Last(bytes.clone()));
+        let upstream = Upstream::start(move |_| Reply::Last(bytes.clone()));
         let discovery = Discovery::start();
-        let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-        assert!(matches!(b.ask(&look("1")).status(), 502 | 503));
-        assert_eq!(b.ask(READY).status(), 200);
+        let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+        assert!(matches!(balancer.ask(&look("1")).status(), 502 | 503));
+        assert_eq!(balancer.ask(READY).status(), 200);
     }
 }
 
-/// Guards against a reset on the next request: a pooled connection that its upstream closed is dropped.
+/// Guards against a reset on the next request: an idle connection that its upstream has closed is not used
+/// again.
 #[test]
-fn a_closed_connection_leaves_the_pool() {
-    let up = Upstream::start(|_| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".to_vec()));
+fn a_connection_that_its_upstream_closed_is_not_reused() {
+    let upstream =
+        Upstream::start(|_| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".to_vec()));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     for n in 1..4 {
-        assert_eq!(b.ask(&book("3", "x")).status(), 200);
-        assert_eq!(up.count(), n, "sent once each");
-        until("the upstream's close", || up.ended.load(Ordering::SeqCst) == n as u32);
-        // The close is on its way through the kernel for a moment yet.
+        assert_eq!(balancer.ask(&book("3", "x")).status(), 200);
+        assert_eq!(upstream.count(), n, "sent once each");
+        until("the upstream's close", || upstream.ended.load(Ordering::SeqCst) == n as u32);
+        // The kernel needs a moment more to deliver the close to the balancer.
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn discovery_is_watched_in_pieces_and_again_after_nonsense() {
+fn lists_of_discovery_may_come_in_pieces_and_an_invalid_line_restarts_the_watch() {
     let (first, second) = (Upstream::start(|_| ok("first")), Upstream::start(|_| ok("second")));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s1", first.address, 0, "SERVING")]);
-    let (asked, mut watch) = discovery.watch();
-    assert!(asked.starts_with("GET /v1/endpoints?stream=1&index=7 "), "{asked}");
-    // Chunks split and join lines: one list in three pieces, with an empty line before and after.
+    let balancer = Balancer::start(&discovery, &[host("s1", first.address, 0, "SERVING")]);
+    let (request_line, mut watch) = discovery.watch();
+    assert!(request_line.starts_with("GET /v1/endpoints?stream=1&index=7 "), "{request_line}");
+    // Chunks need not end where lines end: one list is sent in three chunks, with an empty line before and
+    // after it.
     let entries = [host("s1", first.address, 0, "DRAINING"), host("s2", second.address, 0, "SERVING")];
     let line = format!("\n{}\n\n", list(8, false, &entries));
-    let (a, rest) = line.split_at(40);
-    let (c, d) = rest.split_at(100);
-    [a, c, d].iter().for_each(|piece| watch.chunk(piece));
+    let (first_piece, rest) = line.split_at(40);
+    let (second_piece, third_piece) = rest.split_at(100);
+    [first_piece, second_piece, third_piece].iter().for_each(|piece| watch.chunk(piece));
     until("the draining host gets nothing", || {
         let before = first.count();
-        let answer = b.ask(&look("1.2"));
+        let answer = balancer.ask(&look("1.2"));
         answer.body == b"second" && first.count() == before
     });
-    (0..20).for_each(|_| assert_eq!(b.ask(&look("1.2")).body, b"second"));
+    (0..20).for_each(|_| assert_eq!(balancer.ask(&look("1.2")).body, b"second"));
     watch.chunk("{\"seq\": nonsense}\n");
-    until("its end", || watch.ended());
-    let (asked, _watch) = discovery.watch();
-    assert!(asked.contains("index=8 "), "{asked}");
+    until("the end of the watch", || watch.ended());
+    let (request_line, _watch) = discovery.watch();
+    assert!(request_line.contains("index=8 "), "{request_line}");
 }
 
-/// Guards against a watch that died without a word: an empty line comes every 2 s, or it is dead.
+/// Guards against waiting on a watch whose connection was lost without a close: discovery sends at least an
+/// empty line every 2 s, so a watch without data is ended and opened again.
 #[test]
-fn a_silent_watch_is_given_up() {
-    let up = Upstream::start(|_| ok("x"));
+fn a_watch_without_data_is_ended_and_opened_again() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let _b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let _balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     let (_, mut watch) = discovery.watch();
     watch.chunk("\n");
     let start = Instant::now();
     let (_, _again) = discovery.watch();
-    assert!(start.elapsed() > Duration::from_secs(3), "a live watch was dropped");
-    until("the first one's end", || watch.ended());
+    assert!(start.elapsed() > Duration::from_secs(3), "a live watch was ended too early");
+    until("the end of the first watch", || watch.ended());
 }
 
-/// Guards against dying of EMFILE and against idle callers that lock others out.
+/// Guards against a process that fails with EMFILE, and against idle clients that use up all sockets.
 #[test]
-fn idle_callers_make_room() {
-    let up = Upstream::start(|_| ok("x"));
+fn idle_connections_are_closed_to_make_room_for_new_ones() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-    let mut clients: Vec<_> = (0..120).map(|_| b.client()).collect();
+    let balancer = Balancer::with_sockets(&discovery, &[host("s", upstream.address, 0, "SERVING")], 64);
+    let mut clients: Vec<_> = (0..120).map(|_| balancer.client()).collect();
     assert_eq!(clients.last_mut().unwrap().ask(&look("1.2")).status(), 200);
     let mut first = clients.remove(0);
-    assert_eq!(first.stream.read(&mut [0; 1]).unwrap(), 0, "the oldest idle one was closed");
+    assert_eq!(first.stream.read(&mut [0; 1]).unwrap(), 0, "the oldest idle connection was closed");
 }
 
-/// Guards against losing requests that lie in the kernel while room is made or the end is begun: they are
-/// taken, and a connection that holds one is not between requests.
+/// Guards against losing requests that are still in the kernel's buffers when idle connections are closed to
+/// make room, or when SIGTERM comes. They are read and answered, and a connection with such a request does
+/// not count as idle.
 #[test]
-fn requests_in_the_kernel_are_taken() {
+fn requests_in_kernel_buffers_are_answered() {
     for signals in [&["CONT"][..], &["TERM", "CONT"][..]] {
-        let up = Upstream::start(|_| ok("x"));
+        let upstream = Upstream::start(|_| ok("x"));
         let discovery = Discovery::start();
-        let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-        let mut clients: Vec<_> = (0..10).map(|_| b.client()).collect();
+        let balancer = Balancer::with_sockets(&discovery, &[host("s", upstream.address, 0, "SERVING")], 64);
+        let mut clients: Vec<_> = (0..10).map(|_| balancer.client()).collect();
         clients.iter_mut().for_each(|c| assert_eq!(c.ask(&look("1.2")).status(), 200));
-        b.signal("STOP");
-        clients.extend((0..50).map(|_| b.client()));
+        balancer.signal("STOP");
+        clients.extend((0..50).map(|_| balancer.client()));
         clients.iter_mut().for_each(|c| c.send(&book("6", "x")));
-        signals.iter().for_each(|s| b.signal(s));
+        signals.iter().for_each(|s| balancer.signal(s));
         clients
             .iter_mut()
             .for_each(|c| assert!(matches!(c.answer().expect("an answer").status(), 200 | 503)));
     }
 }
 
-/// Guards against losing what was taken at a planned restart.
+/// Guards against losing accepted requests at a planned restart.
 #[test]
-fn sigterm_is_survived_by_what_was_taken() {
-    let up = Upstream::start(|m| {
+fn requests_accepted_before_and_soon_after_sigterm_are_answered() {
+    let upstream = Upstream::start(|m| {
         std::thread::sleep(Duration::from_millis(if m.start.contains("book") { 1500 } else { 0 }));
         ok("x")
     });
     let discovery = Discovery::start();
-    let mut b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    let mut slow = b.client();
+    let mut balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut reused = balancer.client();
+    assert_eq!(reused.ask(&look("1.2")).status(), 200);
+    let mut slow = balancer.client();
     slow.send(&book("5", "x"));
-    until("the slow attempt", || up.count() == 2);
-    b.signal("TERM");
-    // New and kept connections are served for a while yet: clients use them for as long as they are open, and
-    // those of a zone with one balancer have nowhere else to go.
+    until("the slow attempt", || upstream.count() == 2);
+    balancer.signal("TERM");
+    // New and reused connections are served for some time after SIGTERM: clients use them while they are
+    // open, and those in a zone with one balancer have no other.
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(b.ask(&look("1.2")).status(), 200);
+    assert_eq!(balancer.ask(&look("1.2")).status(), 200);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
+    assert_eq!(reused.ask(&look("1.2")).status(), 200);
     assert_eq!(slow.answer().expect("an answer").status(), 200);
-    assert!(b.wait().success());
-    assert!(kept.answer().is_none());
+    assert!(balancer.wait().success());
+    assert!(reused.answer().is_none());
 }
 
-/// The example starts as it is; the environment goes before the file.
+/// The example configuration starts unchanged, and the environment's address overrides the one in the file.
 #[test]
 fn the_example_configuration_starts() {
-    let at = free_address();
+    let address = free_address();
     let example =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/example.json")).unwrap();
-    let b = Balancer::spawn(at, &example, |command| {
-        command.env("GW_LISTEN", at.to_string());
+    let balancer = Balancer::spawn(address, &example, |command| {
+        command.env("GW_LISTEN", address.to_string());
     });
-    assert_eq!(b.ask(READY).status(), 200);
+    assert_eq!(balancer.ask(READY).status(), 200);
 }
 
-/// Guards against an end by SIGHUP, against a balancer that stays with a discovery that the file no longer
-/// names, though the environment had the first word at the start, and against use of a faulty file.
+/// Guards against a process that SIGHUP ends, against a balancer that stays with a discovery that the file no
+/// longer names (at the start the environment had set the address), and against use of a faulty file.
 #[test]
-fn sighup_follows_discovery_and_keeps_what_works() {
+fn sighup_switches_to_another_discovery_and_a_faulty_file_changes_nothing() {
     let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
     let (before, after) = (Discovery::start(), Discovery::start());
-    let at = free_address();
-    let text = |discovery| config(at, discovery, 1024, &[host("s1", old.address, 0, "SERVING")]);
+    let address = free_address();
+    let text = |discovery| config(address, discovery, 1024, &[host("s1", old.address, 0, "SERVING")]);
     let log = config_file("");
-    let mut b = Balancer::spawn(at, &text(before.address), |command| {
+    let mut balancer = Balancer::spawn(address, &text(before.address), |command| {
         let log = std::fs::File::options().append(true).open(&log).unwrap();
         command.env("GW_DISCOVERY", before.address.to_string()).stderr(log);
     });
     let (_, mut first) = before.watch();
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).body, b"old");
+    let mut reused = balancer.client();
+    assert_eq!(reused.ask(&look("1.2")).body, b"old");
 
-    std::fs::write(&b.config, text(after.address).replace("\"SloUs\":6000000", "\"SloUs\":-1")).unwrap();
-    b.signal("HUP");
+    std::fs::write(&balancer.config, text(after.address).replace("\"SloUs\":6000000", "\"SloUs\":-1"))
+        .unwrap();
+    balancer.signal("HUP");
     until("the faulty key in the log", || {
         std::fs::read_to_string(&log).unwrap().contains("settings.Grades[1].SloUs")
     });
-    assert_eq!(kept.ask(&look("1.2")).body, b"old");
+    assert_eq!(reused.ask(&look("1.2")).body, b"old");
     assert!(!first.ended(), "a faulty file was followed");
 
-    std::fs::write(&b.config, text(after.address)).unwrap();
-    b.signal("HUP");
-    let (asked, mut second) = after.watch();
-    assert!(asked.contains("index=0 "), "another service counts its own versions: {asked}");
-    until("the old watch's end", || first.ended());
+    std::fs::write(&balancer.config, text(after.address)).unwrap();
+    balancer.signal("HUP");
+    let (request_line, mut second) = after.watch();
+    assert!(request_line.contains("index=0 "), "another discovery numbers its own versions: {request_line}");
+    until("the end of the old watch", || first.ended());
     second.chunk(&format!("{}\n", list(1, true, &[host("s2", new.address, 0, "SERVING")])));
-    until("its hosts", || kept.ask(&look("1.2")).body == b"new");
-    assert!(b.child.try_wait().unwrap().is_none());
+    until("the hosts of the new discovery", || reused.ask(&look("1.2")).body == b"new");
+    assert!(balancer.child.try_wait().unwrap().is_none());
 }
 
 #[test]
-fn a_bad_configuration_names_its_key() {
-    let at = free_address();
-    let good = config(at, at, 1024, &[]);
+fn the_error_for_an_invalid_configuration_names_the_key() {
+    let address = free_address();
+    let good = config(address, address, 1024, &[]);
     let cases = [
         (good.replace(r#""seed":"00000000000000a1""#, r#""seed":"?""#), "seed"),
         (good.replace(r#""sockets":1024"#, r#""sockets":"many""#), "limits.sockets"),
@@ -344,154 +358,167 @@
         (good.replace(r#""SloUs":6000000"#, r#""SloUs":-1"#), "settings.Grades[1].SloUs"),
         (good.replace(r#""Semantics":"safe""#, r#""Semantics":"odd""#), "settings.Grades[0].Semantics"),
         (good.replace(r#""Name":"look","#, ""), "settings.Grades[0]"),
-        (good.replace(&format!(r#""listen":"{at}""#), r#""listen":"here""#), "listen"),
-        (config(at, at, 1024, &[host("s", at, 0, "ODD")]), "known.hosts[0].health"),
+        (good.replace(&format!(r#""listen":"{address}""#), r#""listen":"here""#), "listen"),
+        (config(address, address, 1024, &[host("s", address, 0, "ODD")]), "known.hosts[0].health"),
         ("{".to_string(), "EOF"),
     ];
     for (text, key) in cases {
         let output = program(&text).stderr(std::process::Stdio::piped()).output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && said.contains(key), "{key}: {said}");
+        let error_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && error_text.contains(key), "{key}: {error_text}");
     }
 }
 
-/// A herd shows in the sum of all balancers' logs alone: each attempt and each request is told where that is asked.
+/// Many balancers that choose the same upstream at the same time show only in their logs taken together. For
+/// that the debug level logs each attempt and each request.
 #[test]
-fn the_log_tells_every_attempt_where_that_is_asked() {
-    let up = Upstream::start(|_| ok("x"));
+fn the_debug_level_logs_each_attempt_and_each_request() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let at = free_address();
-    let text = config(at, discovery.address, 1024, &[host("s1", up.address, 0, "SERVING")]);
-    for (level, told) in [("info", false), ("debug", true)] {
+    let address = free_address();
+    let text = config(address, discovery.address, 1024, &[host("s1", upstream.address, 0, "SERVING")]);
+    for (level, expected) in [("info", false), ("debug", true)] {
         let log = config_file("");
-        let mut b = Balancer::spawn(at, &text, |command| {
+        let mut balancer = Balancer::spawn(address, &text, |command| {
             let log = std::fs::File::options().append(true).open(&log).unwrap();
             command.env("GW_LOG", level).stderr(log);
         });
-        assert_eq!(b.client().ask(&look("1.2")).body, b"x");
-        // Lines are written by a thread of their own: all are there once the program has ended.
-        b.signal("TERM");
-        assert!(b.wait().success());
-        let said = std::fs::read_to_string(&log).unwrap();
+        assert_eq!(balancer.client().ask(&look("1.2")).body, b"x");
+        // A separate thread writes the lines, so all of them are in the file once the program has ended.
+        balancer.signal("TERM");
+        assert!(balancer.wait().success());
+        let log_text = std::fs::read_to_string(&log).unwrap();
         for message in ["sent", "ended", "request"] {
-            assert_eq!(said.contains(&format!(" {message}, ")), told, "{message} at {level}: {said}");
+            assert_eq!(
+                log_text.contains(&format!(" {message}, ")),
+                expected,
+                "{message} at {level}: {log_text}"
+            );
         }
     }
-    let mut odd = program(&text);
-    let output = odd.env("GW_LOG", "odd").stderr(std::process::Stdio::piped()).output().unwrap();
+    let mut invalid_level = program(&text);
+    let output = invalid_level.env("GW_LOG", "odd").stderr(std::process::Stdio::piped()).output().unwrap();
     assert!(String::from_utf8_lossy(&output.stderr).contains("GW_LOG") && !output.status.success());
 }
 
-/// Guards against trying again what no upstream can use: each try cost the others' retries, and upstreams that
-/// said 400 were taken for failing ones and left out.
+/// Guards against retrying a request that no upstream accepts: each retry used up the retry budget of other
+/// requests, and upstreams that answered 400 were taken for failing ones and ejected.
 #[test]
-fn a_request_that_upstreams_turn_away_is_tried_once_and_blamed_on_none() {
-    let picky = |m: &Message| match m.start.contains("bad") {
+fn a_request_that_an_upstream_rejects_is_not_retried_and_ejects_no_upstream() {
+    let rejecting = |m: &Message| match m.start.contains("bad") {
         true => error(400, "X-Why: id\r\n"),
         false => ok("x"),
     };
-    let ups = [Upstream::start(picky), Upstream::start(picky)];
-    let hosts = [host("s0", ups[0].address, 0, "SERVING"), host("s1", ups[1].address, 0, "SERVING")];
+    let upstreams = [Upstream::start(rejecting), Upstream::start(rejecting)];
+    let hosts =
+        [host("s0", upstreams[0].address, 0, "SERVING"), host("s1", upstreams[1].address, 0, "SERVING")];
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &hosts);
-    let mut client = b.client();
+    let balancer = Balancer::start(&discovery, &hosts);
+    let mut client = balancer.client();
     for n in 1..30 {
         let answer = client.ask(&look("1.2").replace("/part", "/bad"));
         assert_eq!((answer.status(), answer.header("x-why")), (400, Some("id")));
-        assert_eq!(ups[0].count() + ups[1].count(), n, "tried again");
+        assert_eq!(upstreams[0].count() + upstreams[1].count(), n, "the request was retried");
     }
-    let before = [ups[0].count(), ups[1].count()];
+    let before = [upstreams[0].count(), upstreams[1].count()];
     (0..60).for_each(|_| assert_eq!(client.ask(&look("1.2")).status(), 200));
-    assert!(ups.iter().zip(before).all(|(up, n)| up.count() > n + 10), "an upstream was left out");
+    assert!(
+        upstreams.iter().zip(before).all(|(upstream, n)| upstream.count() > n + 10),
+        "an upstream was ejected"
+    );
 }
 
-/// Guards against a second request under the id of an open one: upstreams tell requests apart by their ids.
+/// Guards against a second request with the id of one in flight: upstreams distinguish requests by their ids.
 #[test]
-fn an_id_that_is_in_use_is_turned_away() {
-    let (let_go, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
-    let up = Upstream::start(move |_| {
-        held.lock().unwrap().recv().unwrap();
+fn a_request_with_an_id_in_use_is_refused() {
+    let (answer_permit, permits) = std::sync::mpsc::channel::<()>();
+    let permits = std::sync::Mutex::new(permits);
+    let upstream = Upstream::start(move |_| {
+        permits.lock().unwrap().recv().unwrap();
         ok("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     let request = book("5", "x");
-    let mut first = b.client();
+    let mut first = balancer.client();
     first.send(&request);
-    until("the attempt", || up.opened.load(Ordering::SeqCst) == 1);
-    assert_eq!(b.ask(&request).status(), 400);
-    let_go.send(()).unwrap();
+    until("the attempt", || upstream.opened.load(Ordering::SeqCst) == 1);
+    assert_eq!(balancer.ask(&request).status(), 400);
+    answer_permit.send(()).unwrap();
     assert_eq!(first.answer().expect("an answer").status(), 200);
-    // Once answered, the id is free: a client that lost its connection may ask again.
-    let_go.send(()).unwrap();
-    assert_eq!((first.ask(&request).status(), up.count()), (200, 2));
+    // Once the request is answered, its id is free: a client that lost its connection may send the request
+    // again.
+    answer_permit.send(()).unwrap();
+    assert_eq!((first.ask(&request).status(), upstream.count()), (200, 2));
 }
 
-/// Guards against an answer later than SIGKILL: what is taken after SIGTERM has less time than it asks for.
+/// Guards against an answer that is due only after SIGKILL: a request that comes after SIGTERM gets less time
+/// than its deadline allows.
 #[test]
-fn what_comes_after_sigterm_is_answered_before_the_kill() {
-    let up = Upstream::start(|_| Reply::Silence);
+fn requests_after_sigterm_are_answered_before_sigkill() {
+    let upstream = Upstream::start(|_| Reply::Silence);
     let discovery = Discovery::start();
-    let mut b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
-    b.signal("TERM");
-    let told = Instant::now();
+    let mut balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
+    balancer.signal("TERM");
+    let signalled_at = Instant::now();
     client.send(&book("6", "x"));
     assert_eq!(client.answer().expect("an answer").status(), 502);
-    // The longest deadline counts as 3 s here, and 0.7 s more are granted.
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
-    assert!(b.wait().success());
+    // After SIGTERM deadlines count as 3 s at the most; the bound allows 0.7 s more.
+    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "{:?}", signalled_at.elapsed());
+    assert!(balancer.wait().success());
 }
 
-/// Guards against callers that hold connections and send no whole request: each is closed within 3 s, with an
-/// error where it began to send. A kept connection's next request has its time from its own first byte.
+/// Guards against clients that keep connections open and send no whole request: each such connection is
+/// closed within 3 s, with an error if it had begun to send one. On a reused connection the time of the next
+/// request counts from its own first byte.
 #[test]
-fn slow_callers_are_sent_away() {
-    let up = Upstream::start(|_| ok("x"));
+fn connections_without_a_whole_request_are_closed_in_time() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut reused = balancer.client();
+    assert_eq!(reused.ask(&look("1.2")).status(), 200);
     let start = Instant::now();
-    let (mut silent, mut half) = (b.client(), b.client());
-    half.send("GET /look HTTP/1.1\r\nHost: a\r\nReq-");
-    assert!(silent.answer().is_none_or(|m| m.status() == 408));
-    assert_eq!(half.answer().expect("an error").status(), 408);
+    let (mut unused, mut partial) = (balancer.client(), balancer.client());
+    partial.send("GET /look HTTP/1.1\r\nHost: a\r\nReq-");
+    assert!(unused.answer().is_none_or(|m| m.status() == 408));
+    assert_eq!(partial.answer().expect("an error").status(), 408);
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     let request = look("1.2");
     let (head, tail) = request.split_at(30);
-    kept.send(head);
+    reused.send(head);
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(kept.ask(tail).status(), 200);
+    assert_eq!(reused.ask(tail).status(), 200);
 }
 
-/// Guards against a flood of silent connections that pushes out the clients who come back to theirs.
+/// Guards against a flood of connections without requests that displaces clients who reuse theirs.
 #[test]
-fn silent_callers_make_room_first() {
-    let up = Upstream::start(|_| ok("x"));
+fn connections_that_never_sent_a_request_are_closed_first() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    let mut silent = Vec::new();
+    let balancer = Balancer::with_sockets(&discovery, &[host("s", upstream.address, 0, "SERVING")], 64);
+    let mut reused = balancer.client();
+    assert_eq!(reused.ask(&look("1.2")).status(), 200);
+    let mut unused = Vec::new();
     for _ in 0..4 {
-        silent.extend((0..20).map(|_| b.client()));
+        unused.extend((0..20).map(|_| balancer.client()));
         std::thread::sleep(Duration::from_millis(200));
     }
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    assert!(silent[0].answer().is_none(), "nobody was closed");
+    assert_eq!(reused.ask(&look("1.2")).status(), 200);
+    assert!(unused[0].answer().is_none(), "the oldest connection without a request is still open");
 }
 
-/// Guards against a close that destroys an error by a reset: the client sends all of its 60 MB before it reads.
-/// And against senders who keep the loop to themselves: two more never stop sending, until they are cut off.
+/// Guards against a close whose reset destroys the error before the client has read it: one client sends all
+/// of its 60 MB first. Also guards against senders that occupy the event loop: two more clients send until
+/// they are disconnected.
 #[test]
-fn endless_bodies_are_answered_and_delay_nobody() {
-    let up = Upstream::start(|_| ok("x"));
+fn oversized_bodies_are_refused_without_delay_for_other_requests() {
+    let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
     let sender = |parts: usize| {
-        let mut sender = b.client();
+        let mut sender = balancer.client();
         sender.send(&book("6", "").replace("Content-Length: 0", "Content-Length: 60000000"));
         let part = "x".repeat(600_000);
         std::thread::spawn(move || {
@@ -502,52 +529,53 @@
     };
     let (endless, large) = ([sender(usize::MAX), sender(usize::MAX)], sender(100));
     for _ in 0..20 {
-        assert_eq!(b.ask(&look("1.2")).status(), 200);
+        assert_eq!(balancer.ask(&look("1.2")).status(), 200);
     }
     assert_eq!(large.join().unwrap(), Some(413));
     endless.into_iter().for_each(|sender| assert_eq!(sender.join().unwrap(), None));
 }
 
-/// Guards against belief in a load report that can't be read as a whole.
+/// Guards against use of a load report of which one part can't be parsed.
 #[test]
-fn an_unreadable_report_is_not_believed() {
+fn a_malformed_load_report_is_ignored() {
     let reporting = |report: &'static str| {
         let answer = format!("HTTP/1.1 200 OK\r\nSrv-Load: {report}\r\nContent-Length: 0\r\n\r\n");
         Upstream::start(move |_| Reply::Bytes(answer.clone().into_bytes()))
     };
-    let (odd, plain) = (reporting("TEXT busy=0.x, rif=60"), reporting("TEXT busy=0.5, rif=0"));
+    let (malformed, well_formed) = (reporting("TEXT busy=0.x, rif=60"), reporting("TEXT busy=0.5, rif=0"));
     let discovery = Discovery::start();
-    let hosts = [host("o", odd.address, 0, "SERVING"), host("p", plain.address, 0, "SERVING")];
-    let b = Balancer::start(&discovery, &hosts);
-    let mut client = b.client();
+    let hosts = [host("o", malformed.address, 0, "SERVING"), host("p", well_formed.address, 0, "SERVING")];
+    let balancer = Balancer::start(&discovery, &hosts);
+    let mut client = balancer.client();
     (0..100).for_each(|_| assert_eq!(client.ask(&look("1.2")).status(), 200));
-    assert!(2 * odd.count() > plain.count(), "{} to {}", odd.count(), plain.count());
+    assert!(2 * malformed.count() > well_formed.count(), "{} to {}", malformed.count(), well_formed.count());
 }
 
-/// Guards against failing requests whose answers are good, but longer than requests may be.
+/// Guards against failing requests whose answers are valid, but longer than the limit on requests.
 #[test]
-fn a_long_answer_is_passed_on_whole() {
+fn a_long_answer_is_forwarded_completely() {
     let body: String = (0..60_000).map(|n| format!("{n:07}")).collect();
     let answer = body.clone();
-    let up = Upstream::start(move |_| ok(&answer));
+    let upstream = Upstream::start(move |_| ok(&answer));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
     for n in 1..4 {
         let answer = client.ask(&book("5", "x"));
         assert!(answer.status() == 200 && answer.body == body.as_bytes(), "{}", answer.start);
-        assert_eq!(up.count(), n, "tried again");
+        assert_eq!(upstream.count(), n, "the request was retried");
     }
 }
 
-/// Guards against an upstream whose machine drops what is idle without a word, long before the settings say:
-/// each request on such a connection was reset, and may have run. One reset has to do.
+/// Guards against an upstream whose host drops idle connections without notice, long before the time in the
+/// settings: each request on such a connection was reset, and may have run. One reset must be enough to
+/// shorten the reuse.
 #[test]
-fn connections_that_go_stale_early_are_not_kept_for_long() {
+fn connections_that_an_upstream_drops_early_are_reused_for_a_shorter_time() {
     let last = std::sync::Mutex::new(Instant::now());
     let dropped = std::sync::Arc::new(std::sync::atomic::AtomicU32::new(0));
     let count = dropped.clone();
-    let up = Upstream::start(move |m| {
+    let upstream = Upstream::start(move |m| {
         let since = std::mem::replace(&mut *last.lock().unwrap(), Instant::now()).elapsed();
         if m.nth > 0 && since > Duration::from_millis(150) {
             count.fetch_add(1, Ordering::SeqCst);
@@ -556,12 +584,12 @@
         ok("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let balancer = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let mut client = balancer.client();
     for _ in 0..8 {
         client.ask(&look("1.2"));
         std::thread::sleep(Duration::from_millis(300));
     }
     let dropped = dropped.load(Ordering::SeqCst);
-    assert!((1..=2).contains(&dropped), "{dropped} of 7");
+    assert!((1..=2).contains(&dropped), "{dropped} of 7 requests met a dropped connection");
 }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,11 +1,11 @@
-//! What the project's own checks go by.
+//! Tests of the scripts in .ci that check this project.
 
 use std::io::Write;
 use std::process::{Command, Output};
 
-/// What `.ci/known-red` makes of this file, where these tests are there.
-fn known_red(name: &str, file: Option<&str>, tests: &str) -> Output {
-    let path = |what: &str| format!("{}/known-red-{name}-{what}", env!("CARGO_TARGET_TMPDIR"));
+/// Runs `.ci/known-red` with this file of tests known to fail (or none) and this list of all tests.
+fn run_known_red(name: &str, file: Option<&str>, tests: &str) -> Output {
+    let path = |suffix: &str| format!("{}/known-red-{name}-{suffix}", env!("CARGO_TARGET_TMPDIR"));
     let (red, list) = (path("file"), path("tests"));
     let _ = std::fs::remove_file(&red);
     if let Some(text) = file {
@@ -16,32 +16,35 @@
     Command::new("bash").args([script, &red, &list]).output().unwrap()
 }
 
-const TESTS: &str = "a: test\nb::c: test\nb::cd: test\ntwice: test\ntwice: test\ne: test\nf: test\n";
+const ALL_TESTS: &str = "a: test\nb::c: test\nb::cd: test\ntwice: test\ntwice: test\ne: test\nf: test\n";
 
-/// An entry as it has to be.
+/// Formats an entry of the form that the script accepts.
 fn entry(test: &str, seen: &str) -> String {
     format!("{test}: {seen}: `cargo test --locked -- {test} --exact`: issue 29\n")
 }
 
 #[test]
-fn tests_known_to_fail_are_passed_over_by_their_exact_names() {
-    let none = known_red("none", None, TESTS);
+fn tests_known_to_fail_are_skipped_by_their_exact_names() {
+    let none = run_known_red("none", None, ALL_TESTS);
     assert!(none.status.success() && none.stdout.is_empty(), "{none:?}");
-    let two =
-        known_red("two", Some(&(entry("a", "it hangs: now and then") + "\n" + &entry("b::c", "why"))), TESTS);
+    let two = run_known_red(
+        "two",
+        Some(&(entry("a", "it hangs: now and then") + "\n" + &entry("b::c", "why"))),
+        ALL_TESTS,
+    );
     assert!(two.status.success(), "{two:?}");
     assert_eq!(String::from_utf8_lossy(&two.stdout), "--exact\n--skip\na\n--skip\nb::c\n");
-    let told = String::from_utf8_lossy(&two.stderr).into_owned();
+    let skipped = String::from_utf8_lossy(&two.stderr).into_owned();
     assert!(
-        told.contains("passed over: a: it hangs: now and then: `cargo test") && told.contains("b::c"),
-        "{told}"
+        skipped.contains("passed over: a: it hangs: now and then: `cargo test") && skipped.contains("b::c"),
+        "{skipped}"
     );
 }
 
-/// Guards against tests that go missing unseen: many, a name that is part of one or of several; and against entries that
-/// nobody can reproduce.
+/// Guards against tests that are skipped without notice, by a long list or by a name that is only part of a
+/// test's name or fits several tests. Also guards against entries that nobody can reproduce.
 #[test]
-fn other_lists_of_tests_known_to_fail_are_refused() {
+fn invalid_lists_of_tests_known_to_fail_are_refused() {
     const FORM: &str = "not \"test: what was seen: `command`: issue N\"";
     let cases = [
         ("seventeen", entry("a", "x").repeat(17), "more than 16 lines"),
@@ -55,14 +58,14 @@
         ("no-command", "a: x: `a`: issue 1\n".into(), "does not play a"),
     ];
     for (name, text, why) in cases {
-        let out = known_red(name, Some(&text), TESTS);
+        let out = run_known_red(name, Some(&text), ALL_TESTS);
         assert!(!out.status.success(), "{name}: {out:?}");
         assert!(String::from_utf8_lossy(&out.stderr).contains(why), "{name}: {out:?}");
     }
 }
 
-/// What `.ci/tests-in-test-files` makes of a folder with these files.
-fn tests_in_test_files(name: &str, files: &[(&str, &str)]) -> Output {
+/// Runs `.ci/tests-in-test-files` on a folder with these files.
+fn run_tests_in_test_files(name: &str, files: &[(&str, &str)]) -> Output {
     let root = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("test-files-{name}"));
     let _ = std::fs::remove_dir_all(&root);
     std::fs::create_dir_all(&root).unwrap();
@@ -75,7 +78,7 @@
     Command::new("bash").arg(script).arg(&root).output().unwrap()
 }
 
-const TEST: &str = "proptest! {\n    #[test]\n    fn t() {}\n}\n#[cfg(test)]\nmod tests {}\n";
+const SOURCE_WITH_TESTS: &str = "proptest! {\n    #[test]\n    fn t() {}\n}\n#[cfg(test)]\nmod tests {}\n";
 
 #[test]
 fn tests_in_test_files_pass() {
@@ -85,22 +88,23 @@
         #[cfg(not(test))]\nmod real {}\n\
         #[cfg(feature = \"test\")]\nmod optional {}\n\
         #[cfg(test)]\n#[path = \"lib_tests.rs\"]\nmod tests;\nmod last {}\n";
-    let clean = tests_in_test_files(
+    let clean = run_tests_in_test_files(
         "clean",
         &[
             ("src/lib.rs", source),
-            ("src/lib_tests.rs", TEST),
-            ("src/part/tests.rs", TEST),
-            ("crates/a/tests/unit/a.rs", TEST),
-            ("benches/b.rs", TEST),
-            ("target/debug/out.rs", TEST),
-            ("notes.md", TEST),
+            ("src/lib_tests.rs", SOURCE_WITH_TESTS),
+            ("src/part/tests.rs", SOURCE_WITH_TESTS),
+            ("crates/a/tests/unit/a.rs", SOURCE_WITH_TESTS),
+            ("benches/b.rs", SOURCE_WITH_TESTS),
+            ("target/debug/out.rs", SOURCE_WITH_TESTS),
+            ("notes.md", SOURCE_WITH_TESTS),
         ],
     );
     assert!(clean.status.success() && clean.stdout.is_empty() && clean.stderr.is_empty(), "{clean:?}");
 }
 
-/// Guards against a check that passes over what it does not know, or over a folder without any source.
+/// Guards against a check that ignores forms of tests that it does not know, or that passes a folder without
+/// any source.
 #[test]
 fn tests_in_other_files_are_named_by_file_and_line() {
     const ATTRIBUTE: &str = "#[test]";
@@ -127,18 +131,18 @@
         ),
     ];
     for (name, text, found) in cases {
-        // Names that only look like those of test files.
+        // The names of these files only resemble those of test files.
         for file in ["crates/a/src/x.rs", "src/contests.rs", "my_tests/x.rs"] {
-            let out = tests_in_test_files(name, &[("src/lib.rs", "fn f() {}\n"), (file, text)]);
+            let out = run_tests_in_test_files(name, &[("src/lib.rs", "fn f() {}\n"), (file, text)]);
             assert!(!out.status.success(), "{name}: {out:?}");
-            let told: String = found
+            let expected: String = found
                 .iter()
                 .map(|(line, what)| format!("{file}:{line}: {what} outside of a test file\n"))
                 .collect();
-            assert_eq!(String::from_utf8_lossy(&out.stderr), told, "{name}");
+            assert_eq!(String::from_utf8_lossy(&out.stderr), expected, "{name}");
         }
     }
-    let none = tests_in_test_files("none", &[("tests/a.rs", TEST)]);
+    let none = run_tests_in_test_files("none", &[("tests/a.rs", SOURCE_WITH_TESTS)]);
     assert!(!none.status.success(), "{none:?}");
     assert!(String::from_utf8_lossy(&none.stderr).contains("no Rust sources"), "{none:?}");
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,4 +1,5 @@
-//! The program on an operator's file: routes, pools, limits and reload, with real processes and failing upstreams.
+//! Tests of the whole program on an operator's file: routes, pools, limits and reload, with real processes
+//! and upstreams that fail.
 
 mod support;
 
@@ -10,7 +11,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const TOP: &str = r#"version = 1
+/// The head of an operator's file: one listener, a class that is safe to repeat and a keyed class.
+const FILE_HEAD: &str = r#"version = 1
 [listeners.main]
 address = "LISTEN"
 [classes.look]
@@ -28,33 +30,33 @@
     pool_with(name, nodes, "")
 }
 
-fn pool_with(name: &str, nodes: &[SocketAddr], more: &str) -> String {
+fn pool_with(name: &str, nodes: &[SocketAddr], settings: &str) -> String {
     let nodes =
         nodes.iter().enumerate().map(|(i, a)| format!(r#"{{ name = "{name}-{i}", address = "{a}" }}"#));
-    format!("[pools.{name}]\nnodes = [{}]\n{more}\n", nodes.collect::<Vec<_>>().join(", "))
+    format!("[pools.{name}]\nnodes = [{}]\n{settings}\n", nodes.collect::<Vec<_>>().join(", "))
 }
 
-fn route(name: &str, class: &str, path: &str, to: &str) -> String {
+fn route(name: &str, class: &str, path: &str, target: &str) -> String {
     let key = if class == "book" { "key = { header = \"Idempotency-Key\" }\n" } else { "" };
-    format!("[[routes]]\nname = \"{name}\"\nclass = \"{class}\"\npath_prefix = \"{path}\"\n{key}{to}\n")
+    format!("[[routes]]\nname = \"{name}\"\nclass = \"{class}\"\npath_prefix = \"{path}\"\n{key}{target}\n")
 }
 
-/// A node that answers with its name.
-fn named(name: &'static str) -> Upstream {
+/// Starts a node whose answers consist of its name.
+fn named_node(name: &'static str) -> Upstream {
     Upstream::start(move |_| ok(name))
 }
 
-/// An address where nothing listens: connections are refused.
-fn nobody() -> SocketAddr {
+/// Returns an address on which nothing listens, so that connections to it are refused.
+fn unused_address() -> SocketAddr {
     bound_once("127.0.0.1:0".parse().unwrap())
 }
 
-fn body(m: &Message) -> String {
-    String::from_utf8(m.body.clone()).unwrap()
+fn body(message: &Message) -> String {
+    String::from_utf8(message.body.clone()).unwrap()
 }
 
 #[test]
-fn requests_take_their_routes_and_answers_come_back_as_they_are() {
+fn requests_follow_their_routes_and_answers_are_forwarded_unchanged() {
     let shop = Upstream::start(|m| match m.start.split(' ').next() {
         Some("PUT") => {
             Reply::Bytes(b"HTTP/1.1 201 Created\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok".to_vec())
@@ -63,17 +65,17 @@
         Some("HEAD") => Reply::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n".to_vec()),
         _ => ok("shop"),
     });
-    let stock = named("stock");
+    let stock = named_node("stock");
     let text = [
-        TOP.to_string(),
+        FILE_HEAD.to_string(),
         pool("shop", &[shop.address]),
         pool("stock", &[stock.address]),
         route("shop", "look", "/", "pool = \"shop\""),
         route("stock", "look", "/stock", "methods = [\"GET\"]\npool = \"stock\""),
         route("book", "book", "/book", "pool = \"shop\""),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
+    let process = Operated::start(&text.concat());
+    let mut client = process.client();
     assert_eq!(body(&client.ask(&get("/a"))), "shop");
     assert_eq!(body(&client.ask(&get("/stock/7?x=1"))), "stock");
     let got = stock.got.lock().unwrap()[0].clone();
@@ -88,44 +90,50 @@
     let head = client.head().unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("77")));
     assert_eq!(body(&client.answer().unwrap()), "stock", "the next answer begins where the head ended");
-    assert_eq!(b.ask(&get("/a/%2e%2E/stock")).status(), 404, "a path that others resolve otherwise");
+    assert_eq!(
+        process.ask(&get("/a/%2e%2E/stock")).status(),
+        404,
+        "a path with dot segments, which an upstream may resolve to another path"
+    );
     let keyless = post("/book", "").replace("Idempotency-Key: \r\n", "");
-    assert_eq!(b.ask(&keyless).status(), 400);
-    assert_eq!(b.ask(&post("/book", "k1")).status(), 200);
+    assert_eq!(process.ask(&keyless).status(), 400);
+    assert_eq!(process.ask(&post("/book", "k1")).status(), 200);
     let late = get("/a").replace("\r\n\r\n", "\r\nReq-Deadline: soon\r\n\r\n");
-    assert_eq!(b.ask(&late).status(), 400);
+    assert_eq!(process.ask(&late).status(), 400);
 }
 
-/// Guards against a removed pool that takes its requests with it, and against one that never ends.
+/// Guards against losing the requests of a pool that a reload removes, and against a removed pool that never
+/// ends.
 #[test]
-fn a_pool_removed_while_a_keyed_attempt_is_out_answers_it_first() {
-    let go = Arc::new(AtomicBool::new(false));
-    let waits = go.clone();
+fn a_pool_removed_during_a_keyed_attempt_answers_it_before_it_ends() {
+    let may_answer = Arc::new(AtomicBool::new(false));
+    let node_may_answer = may_answer.clone();
     let old = Upstream::start(move |_| {
-        until("leave to answer", || waits.load(Ordering::SeqCst));
+        until("permission to answer", || node_may_answer.load(Ordering::SeqCst));
         ok("old")
     });
-    let new = named("new");
+    let new = named_node("new");
     let before =
-        [TOP.into(), pool("old", &[old.address]), route("book", "book", "/", "pool = \"old\"")].concat();
-    let after =
-        [TOP.into(), pool("new", &[new.address]), route("book", "book", "/", "pool = \"new\"")].concat();
-    let b = Operated::start(&before);
-    let mut client = b.client();
+        [FILE_HEAD.into(), pool("old", &[old.address]), route("book", "book", "/", "pool = \"old\"")]
+            .concat();
+    let after = [FILE_HEAD.into(), pool("new", &[new.address]), route("book", "book", "/", "pool = \"new\"")]
+        .concat();
+    let process = Operated::start(&before);
+    let mut client = process.client();
     client.send(&post("/x", "k1"));
-    until("the attempt", || old.opened.load(Ordering::SeqCst) > 0 && !b.log().is_empty());
+    until("the attempt", || old.opened.load(Ordering::SeqCst) > 0 && !process.log().is_empty());
     thread::sleep(Duration::from_millis(50));
-    b.reload(&after);
-    assert_eq!(body(&b.ask(&post("/x", "k2"))), "new");
-    // The key's window is open, and only the old pool would drop a repeat.
-    let repeat = b.ask(&post("/x", "k1"));
+    process.reload(&after);
+    assert_eq!(body(&process.ask(&post("/x", "k2"))), "new");
+    // The key's window is still open, and only the old pool could recognize a repeat.
+    let repeat = process.ask(&post("/x", "k1"));
     assert_eq!(repeat.status(), 503);
     let wait: u64 = repeat.header("retry-after").unwrap().parse().unwrap();
     assert!((1..=20).contains(&wait), "{wait}");
-    assert_eq!(b.logged("the pool has ended"), 0);
-    go.store(true, Ordering::SeqCst);
+    assert_eq!(process.logged("the pool has ended"), 0);
+    may_answer.store(true, Ordering::SeqCst);
     assert_eq!(body(&client.answer().unwrap()), "old");
-    until("the pool's end", || b.logged("the pool has ended") == 1);
+    until("the pool's end", || process.logged("the pool has ended") == 1);
     assert_eq!((old.count(), new.count()), (1, 1));
 }
 
@@ -137,168 +145,170 @@
         true => Reply::Last(Vec::new()),
         false => ok("blue"),
     });
-    let green = named("green");
+    let green = named_node("green");
     let text = |blue_weight: u32, green_weight: u32| {
-        let to = format!("split = {{ blue = {blue_weight}.0, green = {green_weight}.0 }}");
+        let target = format!("split = {{ blue = {blue_weight}.0, green = {green_weight}.0 }}");
         let pools = pool_with("blue", &[blue.address], "attempts = 1") + &pool("green", &[green.address]);
-        [TOP.into(), pools, route("book", "book", "/", &to)].concat()
+        [FILE_HEAD.into(), pools, route("book", "book", "/", &target)].concat()
     };
-    let b = Operated::start(&text(1, 0));
-    assert_eq!(b.ask(&post("/x", "k1")).status(), 502, "it may have run");
+    let process = Operated::start(&text(1, 0));
+    assert_eq!(process.ask(&post("/x", "k1")).status(), 502, "the attempt may have run");
     fail.store(false, Ordering::SeqCst);
-    b.reload(&text(0, 1));
+    process.reload(&text(0, 1));
     for _ in 0..5 {
-        assert_eq!(body(&b.ask(&post("/x", "k1"))), "blue");
+        assert_eq!(body(&process.ask(&post("/x", "k1"))), "blue");
     }
     for i in 2..20 {
-        assert_eq!(body(&b.ask(&post("/x", &format!("k{i}")))), "green");
+        assert_eq!(body(&process.ask(&post("/x", &format!("k{i}")))), "green");
     }
 }
 
-/// Guards against open keys being turned away because their pool was replaced by one with the same nodes.
+/// Guards against refusing repeats of open keys because their pool was replaced by one with the same nodes.
 #[test]
-fn a_replaced_pool_with_the_same_nodes_takes_the_repeats_of_open_keys() {
-    let node = named("node");
+fn a_replaced_pool_with_the_same_nodes_accepts_repeats_of_open_keys() {
+    let node = named_node("node");
     let text = |attempts: u32| {
         let pools = pool_with("p", &[node.address], &format!("attempts = {attempts}"));
-        [TOP.into(), pools, route("book", "book", "/", "pool = \"p\"")].concat()
+        [FILE_HEAD.into(), pools, route("book", "book", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(2));
-    assert_eq!(body(&b.ask(&post("/x", "k1"))), "node");
-    b.reload(&text(3));
-    assert!(b.log().contains("pools_replaced: p"), "{}", b.log());
-    assert_eq!(body(&b.ask(&post("/x", "k1"))), "node");
+    let process = Operated::start(&text(2));
+    assert_eq!(body(&process.ask(&post("/x", "k1"))), "node");
+    process.reload(&text(3));
+    assert!(process.log().contains("pools_replaced: p"), "{}", process.log());
+    assert_eq!(body(&process.ask(&post("/x", "k1"))), "node");
 }
 
 #[test]
-fn a_dead_pool_is_left_for_the_next_and_nothing_is_lost() {
-    let reserve = named("reserve");
+fn failover_from_a_dead_pool_loses_no_request() {
+    let reserve = named_node("reserve");
     let rules = "failover = { hold = \"300ms\", return_over = \"0s\" }";
     let text = |first: SocketAddr| {
         let pools = pool_with("first", &[first], rules) + &pool("reserve", &[reserve.address]);
-        let to = "failover = [\"first\", \"reserve\"]";
-        [TOP.into(), pools, route("a", "look", "/", to), route("k", "book", "/k", to)].concat()
+        let target = "failover = [\"first\", \"reserve\"]";
+        [FILE_HEAD.into(), pools, route("a", "look", "/", target), route("k", "book", "/k", target)].concat()
     };
-    let b = Operated::start(&text(nobody()));
-    let mut client = b.client();
+    let process = Operated::start(&text(unused_address()));
+    let mut client = process.client();
     for i in 0..40 {
         let request = if i % 2 == 0 { get("/x") } else { post("/k", &format!("f{i}")) };
         assert_eq!(body(&client.ask(&request)), "reserve", "request {i}");
     }
-    until("the pool to be left", || b.logged("the pool is left") >= 1);
-    // The first comes back, at another address; its requests follow after the hold.
-    let first = named("first");
-    b.reload(&text(first.address));
+    until("the pool to be left", || process.logged("the pool is left") >= 1);
+    // The first pool recovers at another address, and gets its requests again after the hold time.
+    let first = named_node("first");
+    process.reload(&text(first.address));
     until("the return", || body(&client.ask(&get("/x"))) == "first");
 }
 
-/// Guards against traffic that swings with every flap: each fall lengthens the hold.
+/// Guards against traffic that moves with each change of a flapping pool: each failure lengthens the hold
+/// time.
 #[test]
-fn a_flapping_pool_is_held_off_for_longer_and_longer() {
-    let well = Arc::new(AtomicBool::new(false));
-    let (flaps, first) = (well.clone(), AtomicU32::new(0));
+fn each_failure_of_a_flapping_pool_lengthens_its_hold_time() {
+    let healthy = Arc::new(AtomicBool::new(false));
+    let (node_healthy, answers) = (healthy.clone(), AtomicU32::new(0));
     let flapping = Upstream::start(move |_| {
-        first.fetch_add(1, Ordering::SeqCst);
-        if flaps.load(Ordering::SeqCst) {
+        answers.fetch_add(1, Ordering::SeqCst);
+        if node_healthy.load(Ordering::SeqCst) {
             ok("flapping")
         } else {
             error(500, "")
         }
     });
-    let reserve = named("reserve");
+    let reserve = named_node("reserve");
     let rules = "attempts = 1\nfailover = { hold = \"250ms\", hold_max = \"10m\", return_over = \"0s\" }";
     let text = [
-        TOP.into(),
+        FILE_HEAD.into(),
         pool_with("flapping", &[flapping.address], rules),
         pool("reserve", &[reserve.address]),
         route("a", "look", "/", "failover = [\"flapping\", \"reserve\"]"),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
+    let process = Operated::start(&text.concat());
+    let mut client = process.client();
     let end = Instant::now() + Duration::from_secs(9);
     let mut failed = 0;
     while Instant::now() < end {
         failed += u32::from(client.ask(&get("/x")).status() != 200);
         thread::sleep(Duration::from_millis(5));
     }
-    // Marks are believed for 5 s, so without the doubling it could be returned to once in about that; each time
-    // three failures and what is asked before the next look at its health.
-    let left = b.logged("the pool is left");
-    assert!((1..=3).contains(&left), "left {left} times");
-    assert!(failed <= 80 * left as u32, "{failed} failed");
+    // Health records count for 5 s, so without the doubling traffic could return to the pool about once in 5
+    // s. Each return costs three failures and the requests that come before the next check of the pool's
+    // health.
+    let left = process.logged("the pool is left");
+    assert!((1..=3).contains(&left), "the pool was left {left} times");
+    assert!(failed <= 80 * left as u32, "{failed} requests failed");
     assert!(reserve.count() > 10 * failed as usize, "{} to {failed}", reserve.count());
 }
 
 #[test]
-fn a_pool_without_nodes_refuses_at_once_and_says_when_to_return() {
-    let reserve = named("reserve");
+fn a_pool_without_nodes_refuses_at_once_with_retry_after() {
+    let reserve = named_node("reserve");
     let text = [
-        TOP.into(),
+        FILE_HEAD.into(),
         pool("empty", &[]),
         pool("reserve", &[reserve.address]),
         route("alone", "look", "/alone", "pool = \"empty\""),
         route("list", "look", "/list", "failover = [\"empty\", \"reserve\"]"),
     ];
-    let b = Operated::start(&text.concat());
+    let process = Operated::start(&text.concat());
     let start = Instant::now();
-    let answer = b.ask(&get("/alone"));
+    let answer = process.ask(&get("/alone"));
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1"));
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
-    assert_eq!(body(&b.ask(&get("/list"))), "reserve");
+    assert_eq!(body(&process.ask(&get("/list"))), "reserve");
 }
 
 #[test]
-fn a_file_replaced_half_written_changes_nothing() {
-    let (one, two) = (named("one"), named("two"));
-    let text = |to: &Upstream| {
-        [TOP.into(), pool("p", &[to.address]), route("a", "look", "/", "pool = \"p\"")].concat()
+fn a_file_that_is_only_partly_written_changes_nothing() {
+    let (one, two) = (named_node("one"), named_node("two"));
+    let text = |target: &Upstream| {
+        [FILE_HEAD.into(), pool("p", &[target.address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(&one));
-    let whole = text(&two);
-    for cut in [0, 10, whole.len() / 2, whole.len() - 12] {
-        let refused = b.logged("the new version is refused");
-        b.replace(&whole[..cut]);
-        b.signal("HUP");
-        until("the refusal", || b.logged("the new version is refused") > refused);
-        assert_eq!(body(&b.ask(&get("/"))), "one");
+    let process = Operated::start(&text(&one));
+    let complete = text(&two);
+    for cut in [0, 10, complete.len() / 2, complete.len() - 12] {
+        let refused = process.logged("the new version is refused");
+        process.replace(&complete[..cut]);
+        process.signal("HUP");
+        until("the refusal", || process.logged("the new version is refused") > refused);
+        assert_eq!(body(&process.ask(&get("/"))), "one");
     }
-    // A writer at work: the file is read only once it rests.
-    for end in [10, 60, 150, whole.len()] {
-        let text = whole[..end].replace("LISTEN", &b.address.to_string());
-        std::fs::write(&b.config, text).unwrap();
-        b.signal("HUP");
+    // While a writer is still at work, the file is not used: it is read only after it has stopped changing.
+    for end in [10, 60, 150, complete.len()] {
+        let text = complete[..end].replace("LISTEN", &process.address.to_string());
+        std::fs::write(&process.config, text).unwrap();
+        process.signal("HUP");
         thread::sleep(Duration::from_millis(10));
     }
-    until("the whole file", || b.logged("the new version is in force") == 1);
-    until("the second node", || body(&b.ask(&get("/"))) == "two");
-    assert_eq!(b.logged("is refused"), 4, "{}", b.log());
-    assert!(b.log().contains("routes"), "the key is told");
+    until("the whole file", || process.logged("the new version is in force") == 1);
+    until("the second node", || body(&process.ask(&get("/"))) == "two");
+    assert_eq!(process.logged("is refused"), 4, "{}", process.log());
+    assert!(process.log().contains("routes"), "the log names the key");
 }
 
 #[test]
-fn two_reloads_within_a_second_both_count() {
-    let nodes = [named("n0"), named("n1"), named("n2")];
+fn two_reloads_within_a_second_both_come_into_force() {
+    let nodes = [named_node("n0"), named_node("n1"), named_node("n2")];
     let text = |i: usize| {
-        [TOP.into(), pool("p", &[nodes[i].address]), route("a", "look", "/", "pool = \"p\"")].concat()
+        [FILE_HEAD.into(), pool("p", &[nodes[i].address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(0));
+    let process = Operated::start(&text(0));
     let start = Instant::now();
-    b.reload(&text(1));
-    b.reload(&text(2));
+    process.reload(&text(1));
+    process.reload(&text(2));
     assert!(start.elapsed() < PATIENCE);
-    until("the last version", || body(&b.ask(&get("/"))) == "n2");
-    let gone = nodes[0].count() + nodes[1].count();
+    until("the last version", || body(&process.ask(&get("/"))) == "n2");
+    let earlier_requests = nodes[0].count() + nodes[1].count();
     for _ in 0..20 {
-        assert_eq!(body(&b.ask(&get("/"))), "n2");
+        assert_eq!(body(&process.ask(&get("/"))), "n2");
     }
-    assert_eq!(nodes[0].count() + nodes[1].count(), gone);
+    assert_eq!(nodes[0].count() + nodes[1].count(), earlier_requests);
 }
 
 #[test]
 fn ten_thousand_routes_and_two_hundred_pools_are_served_and_reloaded() {
-    let node = named("node");
-    let mut text = TOP.to_string();
+    let node = named_node("node");
+    let mut text = FILE_HEAD.to_string();
     for i in 0..200 {
         text += &pool(&format!("p{i}"), &[node.address]);
     }
@@ -306,51 +316,55 @@
         text +=
             &route(&format!("r{i}"), "look", &format!("/s{i}/items"), &format!("pool = \"p{}\"", i % 200));
     }
-    let b = Operated::start(&text);
+    let process = Operated::start(&text);
     for i in [0, 4_321, 9_999] {
-        assert_eq!(body(&b.ask(&get(&format!("/s{i}/items/7")))), "node");
+        assert_eq!(body(&process.ask(&get(&format!("/s{i}/items/7")))), "node");
     }
-    assert_eq!(b.ask(&get("/s10000/items")).status(), 404);
-    b.reload(&text.replace("/s9999/", "/other/"));
-    assert_eq!((b.ask(&get("/s9999/items")).status(), b.ask(&get("/other/items")).status()), (404, 200));
-    assert!(b.log().contains("pools_kept: 200"), "{}", b.log());
+    assert_eq!(process.ask(&get("/s10000/items")).status(), 404);
+    process.reload(&text.replace("/s9999/", "/other/"));
+    assert_eq!(
+        (process.ask(&get("/s9999/items")).status(), process.ask(&get("/other/items")).status()),
+        (404, 200)
+    );
+    assert!(process.log().contains("pools_kept: 200"), "{}", process.log());
 }
 
 #[test]
-fn a_mirror_that_hangs_harms_neither_answers_nor_limits() {
-    let node = named("node");
+fn a_mirror_that_hangs_affects_neither_answers_nor_limits() {
+    let node = named_node("node");
     let shadow = Upstream::start(|_| Reply::Silence);
     let max = "requests = { max = 4 }\nconnections = { max = 3 }";
     let text = [
-        TOP.replace("[listeners", "[limits]\nrequests = 8\n[listeners"),
+        FILE_HEAD.replace("[listeners", "[limits]\nrequests = 8\n[listeners"),
         pool("p", &[node.address]),
         pool_with("shadow", &[shadow.address], max),
         route("a", "look", "/", "pool = \"p\"\nmirror = { pool = \"shadow\", share = 1.0 }"),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
+    let process = Operated::start(&text.concat());
+    let mut client = process.client();
     for i in 0..200 {
         let answer = client.ask(&get("/x"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
     }
-    until("copies", || shadow.opened.load(Ordering::SeqCst) > 0);
+    until("the mirrored copies", || shadow.opened.load(Ordering::SeqCst) > 0);
     let open = shadow.opened.load(Ordering::SeqCst) - shadow.ended.load(Ordering::SeqCst);
     assert!(open <= 3, "{open} connections to the shadow pool");
-    let ids: BTreeSet<_> =
+    let mirrored_ids: BTreeSet<_> =
         shadow.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
-    let real: BTreeSet<_> =
+    let served_ids: BTreeSet<_> =
         node.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
-    assert!(ids.is_subset(&real), "copies are of requests that were served");
-    assert_eq!(real.len(), 200);
+    assert!(mirrored_ids.is_subset(&served_ids), "copies are of requests that were served");
+    assert_eq!(served_ids.len(), 200);
 }
 
-/// Many clients on a route whose nodes hang, while one asks elsewhere.
+/// Many clients use a route whose nodes hang, while one client uses another route, which keeps its guaranteed
+/// share.
 #[test]
-fn a_flood_on_one_route_leaves_the_others_their_minimum() {
+fn a_flood_on_one_route_leaves_other_routes_their_minimum() {
     let hung = Upstream::start(|_| Reply::Silence);
-    let node = named("node");
+    let node = named_node("node");
     let text = [
-        TOP.replace("[listeners", "[limits]\nrequests = 20\ndescriptors = 128\n[listeners")
+        FILE_HEAD.replace("[listeners", "[limits]\nrequests = 20\ndescriptors = 128\n[listeners")
             + "connections = { min = 0 }\n",
         pool("hung", &[hung.address]),
         pool_with("well", &[node.address], "requests = { min = 2 }\nconnections = { min = 2 }"),
@@ -363,10 +377,11 @@
         route("well", "look", "/well", "tenant = { value = \"south\" }\npool = \"well\""),
         "[tenants.north]\n[tenants.south]\n".into(),
     ];
-    // Tables of the same kind may stand anywhere; the listener's share belongs to its own.
+    // The file head ends with a class's table, to which a listener's share does not belong, so the line is
+    // removed.
     let text = text.concat().replace("window = \"20s\"\nconnections = { min = 0 }\n", "window = \"20s\"\n");
-    let b = Operated::start(&text);
-    let mut flood: Vec<Client> = (0..40).map(|_| b.client()).collect();
+    let process = Operated::start(&text);
+    let mut flood: Vec<Client> = (0..40).map(|_| process.client()).collect();
     let refused = Arc::new(AtomicU32::new(0));
     for client in &mut flood {
         client.send(&get("/flooded"));
@@ -383,7 +398,7 @@
         }
     });
     until("the flood", || hung.opened.load(Ordering::SeqCst) > 0);
-    let mut client = b.client();
+    let mut client = process.client();
     for i in 0..100 {
         let answer = client.ask(&get("/well"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
@@ -393,97 +408,100 @@
 }
 
 #[test]
-fn a_file_of_nodes_is_followed_and_a_drained_node_gets_nothing_new() {
-    let (one, two) = (named("one"), named("two"));
+fn changes_of_a_nodes_file_are_followed_and_a_drained_node_gets_no_new_request() {
+    let (one, two) = (named_node("one"), named_node("two"));
     let file = config_file("");
-    let node = |u: &Upstream, name: &str, more: &str| {
-        format!("[[nodes]]\nname = \"{name}\"\naddress = \"{}\"\n{more}\n", u.address)
+    let node = |node_server: &Upstream, name: &str, more: &str| {
+        format!("[[nodes]]\nname = \"{name}\"\naddress = \"{}\"\n{more}\n", node_server.address)
     };
     std::fs::write(&file, node(&one, "one", "")).unwrap();
     let pools = format!("[pools.p]\nnodes_file = \"{file}\"\n");
-    let b = Operated::start(&[TOP.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
-    assert_eq!(body(&b.ask(&get("/"))), "one");
+    let process =
+        Operated::start(&[FILE_HEAD.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
+    assert_eq!(body(&process.ask(&get("/"))), "one");
     std::fs::write(&file, node(&one, "one", "state = \"draining\"") + &node(&two, "two", "")).unwrap();
-    until("the list", || b.logged("nodes read") == 2);
+    until("the list", || process.logged("nodes read") == 2);
     thread::sleep(Duration::from_millis(500));
     let before = one.count();
     for _ in 0..30 {
-        assert_eq!(body(&b.ask(&get("/"))), "two");
+        assert_eq!(body(&process.ask(&get("/"))), "two");
     }
     assert_eq!(one.count(), before);
-    // What can't be read changes nothing, be it spoilt, empty or gone.
+    // A file that is invalid, empty or missing changes nothing.
     std::fs::write(&file, "[[nodes]]\nname = \"two\"\n").unwrap();
-    until("the refusal", || b.logged("the file of nodes is refused") == 1);
+    until("the refusal of the invalid file", || process.logged("the file of nodes is refused") == 1);
     std::fs::write(&file, "").unwrap();
-    until("the refusal", || b.logged("the file of nodes is refused") == 2);
+    until("the refusal of the empty file", || process.logged("the file of nodes is refused") == 2);
     std::fs::remove_file(&file).unwrap();
-    until("the warning", || b.logged("the file of nodes is not there") == 1);
-    assert_eq!(body(&b.ask(&get("/"))), "two");
+    until("the warning of the missing file", || process.logged("the file of nodes is not there") == 1);
+    assert_eq!(body(&process.ask(&get("/"))), "two");
 }
 
 #[test]
-fn a_pool_follows_discovery_to_another_address_and_its_drains() {
-    let (one, two) = (named("one"), named("two"));
+fn a_pool_follows_the_drains_of_its_discovery_and_a_change_of_its_address() {
+    let (one, two) = (named_node("one"), named_node("two"));
     let (first, second) = (Discovery::start(), Discovery::start());
-    let text = |d: &Discovery| {
-        let pools = format!("[pools.p]\ndiscovery = \"{}\"\n", d.address);
-        [TOP.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat()
+    let text = |discovery: &Discovery| {
+        let pools = format!("[pools.p]\ndiscovery = \"{}\"\n", discovery.address);
+        [FILE_HEAD.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::spawn(&text(&first));
+    let process = Operated::spawn(&text(&first));
     let (_, mut watch) = first.watch();
     watch.chunk(&(list(1, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("readiness", || Client::connect(b.address).is_some() && b.ask(READY).status() == 200);
-    assert_eq!(body(&b.ask(&get("/"))), "one");
+    until("readiness", || Client::connect(process.address).is_some() && process.ask(READY).status() == 200);
+    assert_eq!(body(&process.ask(&get("/"))), "one");
     let hosts = [host("one", one.address, 0, "DRAINING"), host("two", two.address, 0, "SERVING")];
     watch.chunk(&(list(2, false, &hosts) + "\n"));
-    until("the second node", || body(&b.ask(&get("/"))) == "two");
+    until("the second node", || body(&process.ask(&get("/"))) == "two");
     thread::sleep(Duration::from_millis(500));
     let before = one.count();
     for _ in 0..20 {
-        assert_eq!(body(&b.ask(&get("/"))), "two");
+        assert_eq!(body(&process.ask(&get("/"))), "two");
     }
     assert_eq!(one.count(), before);
-    // Another service, the same pool: what was learned stays, and the list is that of the new one.
-    b.reload(&text(&second));
+    // The pool moves to another discovery: it keeps what it learned about its nodes, and uses the new one's
+    // list.
+    process.reload(&text(&second));
     let (start, mut moved) = second.watch();
     assert!(start.contains("index=0"), "{start}");
     moved.chunk(&(list(9, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("the first node again", || body(&b.ask(&get("/"))) == "one");
-    assert!(b.log().contains("pools_kept: 1"), "{}", b.log());
+    until("the first node again", || body(&process.ask(&get("/"))) == "one");
+    assert!(process.log().contains("pools_kept: 1"), "{}", process.log());
 }
 
 #[test]
-fn listeners_come_and_go_with_a_version() {
-    let node = named("node");
+fn a_reload_adds_and_removes_listeners() {
+    let node = named_node("node");
     let rest = pool("p", &[node.address]) + &route("a", "look", "/", "pool = \"p\"");
     let other = free_address();
-    let with = |more: String| TOP.replace("[classes.look]", &(more + "[classes.look]")) + &rest;
-    let b = Operated::start(&with(String::new()));
+    let with = |more: String| FILE_HEAD.replace("[classes.look]", &(more + "[classes.look]")) + &rest;
+    let process = Operated::start(&with(String::new()));
     let second = format!("[listeners.second]\naddress = \"{other}\"\n");
-    b.reload(&with(second.clone()));
-    let at = |address| Client::connect(address);
-    let mut kept = at(other).unwrap();
-    assert_eq!(body(&kept.ask(&get("/"))), "node");
-    // An address that is taken refuses the whole version.
+    process.reload(&with(second.clone()));
+    let connect = |address| Client::connect(address);
+    let mut connection = connect(other).unwrap();
+    assert_eq!(body(&connection.ask(&get("/"))), "node");
+    // The whole version is refused when one address is in use.
     let taken = TcpListener::bind(free_address()).unwrap();
     let third = format!("[listeners.third]\naddress = \"{}\"\n", taken.local_addr().unwrap());
-    b.replace(&with(third));
-    b.signal("HUP");
-    until("the refusal", || b.logged("the new version is refused") == 1);
-    assert_eq!(body(&kept.ask(&get("/"))), "node", "the second listener is still in force");
-    b.reload(&with(String::new()));
-    until("its end", || at(other).is_none());
-    assert!(kept.answer().is_none(), "a connection between requests ends with its listener");
-    assert_eq!(body(&b.ask(&get("/"))), "node");
+    process.replace(&with(third));
+    process.signal("HUP");
+    until("the refusal", || process.logged("the new version is refused") == 1);
+    assert_eq!(body(&connection.ask(&get("/"))), "node", "the second listener is still in force");
+    process.reload(&with(String::new()));
+    until("the end of the listener", || connect(other).is_none());
+    assert!(connection.answer().is_none(), "a connection between requests ends with its listener");
+    assert_eq!(body(&process.ask(&get("/"))), "node");
 }
 
-/// Every client gets one answer to each request while version after version comes into force.
+/// Each client gets exactly one answer to each request while one version after another comes into force.
 #[test]
-fn reloads_under_load_lose_nothing_and_answer_nothing_twice() {
+fn reloads_under_load_give_each_request_one_answer() {
     reload_under_load(Duration::from_secs(3), 1);
 }
 
-/// The long form, as an experiment: `cargo test --release --locked --test pools -- --ignored --nocapture`.
+/// The long form of the test above, to be run as an experiment: `cargo test --release --locked --test pools
+/// -- --ignored --nocapture`.
 #[test]
 #[ignore = "a minute long; docs/operations.md has its figures"]
 fn reloads_for_a_minute_keep_memory_flat() {
@@ -506,57 +524,59 @@
             pools += &pool(&format!("odd{version}"), &[nodes[2].address]);
         }
         let weight = version % 5;
-        let to = format!("split = {{ kept = 1.0, changed = {weight}.0 }}");
-        // Every second request has a key of its own, remembered for 20 s: the default of 65,536 would be full.
-        let top = TOP.replace("[listeners", "[limits]\npins = 1000000\n[listeners");
-        [top, pools, route("a", "look", "/", &to), route("k", "book", "/k", &to)].concat()
+        let target = format!("split = {{ kept = 1.0, changed = {weight}.0 }}");
+        // Every second request has its own key, which is stored for 20 s, so the default limit of 65,536 keys
+        // would be reached.
+        let head = FILE_HEAD.replace("[listeners", "[limits]\npins = 1000000\n[listeners");
+        [head, pools, route("a", "look", "/", &target), route("k", "book", "/k", &target)].concat()
     };
-    let b = Operated::start(&text(0));
+    let process = Operated::start(&text(0));
     let done = Arc::new(AtomicBool::new(false));
-    let address = b.address;
+    let address = process.address;
     let clients: Vec<_> = (0..4)
         .map(|c| {
             let done = done.clone();
             thread::spawn(move || {
                 let mut client = Client::connect(address).unwrap();
-                let (mut n, mut refused) = (0u64, 0u64);
+                let (mut sent, mut refused) = (0u64, 0u64);
                 while !done.load(Ordering::SeqCst) {
-                    let mine = format!("{c}-{n}");
-                    let plain = if n.is_multiple_of(2) { get("/x") } else { post("/k", &mine) };
-                    let request = plain.replacen("\r\n\r\n", &format!("\r\nX-Mine: {mine}\r\n\r\n"), 1);
+                    let own_body = format!("{c}-{sent}");
+                    let plain = if sent.is_multiple_of(2) { get("/x") } else { post("/k", &own_body) };
+                    let request = plain.replacen("\r\n\r\n", &format!("\r\nX-Mine: {own_body}\r\n\r\n"), 1);
                     let answer = client.ask(&request);
-                    n += 1;
-                    // A machine at its limit may have one refused, which is an answer too; any other must be its own.
+                    sent += 1;
+                    // On an overloaded machine a request may be refused, which is an answer too. Any other
+                    // answer must be the one to this very request.
                     if answer.status() == 503 && answer.header("retry-after").is_some() {
                         refused += 1;
                         continue;
                     }
-                    assert_eq!((answer.status(), body(&answer)), (200, mine));
+                    assert_eq!((answer.status(), body(&answer)), (200, own_body));
                 }
-                (n, refused)
+                (sent, refused)
             })
         })
         .collect();
     let (start, mut version, mut memory) = (Instant::now(), 0, Vec::new());
     while start.elapsed() < time {
         version += 1;
-        b.replace(&text(version));
-        b.signal("HUP");
+        process.replace(&text(version));
+        process.signal("HUP");
         thread::sleep(Duration::from_millis(100));
-        memory.push(memory_kb(b.child.id()));
+        memory.push(memory_kb(process.child.id()));
     }
     done.store(true, Ordering::SeqCst);
     let ends: Vec<(u64, u64)> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     let refused: u64 = ends.iter().map(|e| e.1).sum();
     let served = ends.iter().map(|e| e.0).sum::<u64>() - refused;
     assert!(refused * 100 <= served, "{refused} refused, {served} served");
-    let in_force = b.logged("the new version is in force");
+    let in_force = process.logged("the new version is in force");
     assert!(in_force >= least_versions, "{in_force} of {version} versions");
-    assert_eq!(b.logged("is refused"), 0, "{}", b.log());
+    assert_eq!(process.logged("is refused"), 0, "{}", process.log());
     let sent: usize = nodes.iter().map(Upstream::count).sum();
     assert!(sent as u64 >= served && served > 0, "{served} served, {sent} attempts");
     let half = memory.len() / 2;
-    // Keys are remembered for 20 s: before half of a minute their memory still grows, as it has to.
+    // Keys are stored for 20 s, so before half of a minute their memory still grows as expected.
     let (early, late) = (memory[half], *memory.last().unwrap());
     println!(
         "{in_force} versions, {served} requests, {sent} attempts, {early} kB at half, {late} kB at the end"
@@ -567,24 +587,24 @@
 }
 
 #[test]
-fn request_lines_tell_what_became_of_each_as_json() {
+fn json_request_lines_report_the_outcome_of_each_request() {
     let node = Upstream::start(|m| if m.start.contains("/bad") { error(422, "") } else { ok("x") });
     let text = [
-        TOP.replace("[listeners", "[logging]\nformat = \"json\"\nrequests = \"all\"\n[listeners"),
+        FILE_HEAD.replace("[listeners", "[logging]\nformat = \"json\"\nrequests = \"all\"\n[listeners"),
         "[tenants.north]\n".into(),
         pool("p", &[node.address]),
         pool("none", &[]),
         route("a", "look", "/", "pool = \"p\"\ntenant = { header = \"X-Tenant\" }"),
         route("n", "look", "/none", "pool = \"none\""),
     ];
-    let b = Operated::start(&text.concat());
+    let process = Operated::start(&text.concat());
     let with = |path: &str| get(path).replace("\r\n\r\n", "\r\nX-Tenant: north\r\nReq-Id: mine\r\n\r\n");
-    let mut client = b.client();
+    let mut client = process.client();
     assert_eq!(client.ask(&with("/x")).status(), 200);
     assert_eq!(client.ask(&with("/bad")).status(), 422);
     assert_eq!(client.ask(&with("/none")).status(), 503);
-    until("three lines", || b.logged("\"msg\":\"request\"") == 3);
-    let log = b.log();
+    until("three lines", || process.logged("\"msg\":\"request\"") == 3);
+    let log = process.log();
     let lines: Vec<serde_json::Value> = log.lines().map(|l| serde_json::from_str(l).unwrap()).collect();
     let requests: Vec<_> = lines.iter().filter(|l| l["msg"] == "request").collect();
     let field = |i: usize, name: &str| requests[i][name].as_str().unwrap_or("").to_string();
@@ -606,48 +626,52 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_costs_lines_and_no_request() {
-    let node = named("node");
+fn a_log_without_a_reader_loses_lines_and_no_request() {
+    let node = named_node("node");
     let text = [
-        TOP.replace("[listeners", "[logging]\nrequests = \"all\"\nqueue = 64\n[listeners"),
+        FILE_HEAD.replace("[listeners", "[logging]\nrequests = \"all\"\nqueue = 64\n[listeners"),
         pool("p", &[node.address]),
         route("a", "look", "/", "pool = \"p\""),
     ];
-    let mut b = Operated::spawn_with(&text.concat(), Some(std::process::Stdio::piped()));
-    until("readiness", || Client::connect(b.address).is_some() && b.ask(READY).status() == 200);
-    let mut client = b.client();
-    // Each line is over 100 bytes, and a pipe holds 64 KiB.
+    let mut process = Operated::spawn_with(&text.concat(), Some(std::process::Stdio::piped()));
+    until("readiness", || Client::connect(process.address).is_some() && process.ask(READY).status() == 200);
+    let mut client = process.client();
+    // Each line is longer than 100 bytes, and the pipe's buffer takes 64 KiB, so 2,000 lines don't fit.
     for _ in 0..2_000 {
         assert_eq!(client.ask(&get("/x")).status(), 200);
     }
-    let mut log = b.balancer.child.stderr.take().unwrap();
+    let mut log = process.balancer.child.stderr.take().unwrap();
     let reader = thread::spawn(move || {
         let mut text = String::new();
         std::io::Read::read_to_string(&mut log, &mut text).map(|_| text)
     });
-    b.signal("TERM");
-    assert!(b.balancer.wait().success());
+    process.signal("TERM");
+    assert!(process.balancer.wait().success());
     let text = reader.join().unwrap().unwrap();
     let lines = text.matches("outcome: served").count();
     assert!(lines > 100 && lines < 2_000, "{lines} lines");
-    assert!(text.contains("logger dropped messages due to channel overflow"), "the loss is told");
+    assert!(text.contains("logger dropped messages due to channel overflow"), "the log reports the loss");
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_ends() {
+fn after_sigterm_accepted_requests_are_answered_and_the_process_ends() {
     let node = Upstream::start(|_| {
         thread::sleep(Duration::from_millis(300));
         ok("late")
     });
-    let mut b = Operated::start(
-        &[TOP.into(), pool("p", &[node.address]), route("a", "look", "/", "pool = \"p\"")].concat(),
+    let mut process = Operated::start(
+        &[FILE_HEAD.into(), pool("p", &[node.address]), route("a", "look", "/", "pool = \"p\"")].concat(),
     );
-    let mut client = b.client();
+    let mut client = process.client();
     client.send(&get("/"));
     until("the attempt", || node.opened.load(Ordering::SeqCst) > 0);
-    b.signal("HUP");
-    b.signal("TERM");
+    process.signal("HUP");
+    process.signal("TERM");
     assert_eq!(body(&client.answer().unwrap()), "late");
-    assert_eq!(body(&b.ask(&get("/"))), "late", "it goes on accepting for a while");
-    assert!(b.balancer.wait().success());
+    assert_eq!(
+        body(&process.ask(&get("/"))),
+        "late",
+        "new requests are accepted for some time after SIGTERM"
+    );
+    assert!(process.balancer.wait().success());
 }
