--- a/crates/serve/src/duties.rs
+++ b/crates/serve/src/duties.rs
@@ -5,7 +5,7 @@
 use calloop::channel::{channel, Event as ChannelEvent, Sender};
 use garnettally_config::file::Duties as DutyConfig;
 use garnettally_duties::{
-    Change, Duties, Event, Input, Output, Sender as MessageSender, Settings, Standing, To,
+    Change, Duties, Event, Input, Output, Recipient, Sender as MessageSender, Settings, Standing,
 };
 use garnettally_link::{time_since_boot, Link};
 use garnettally_model::Micros;
@@ -76,7 +76,7 @@
                 // is opened.
                 open = None;
                 Store::open(&folder, fresh).map(|(store, records)| {
-                    let number = store.number();
+                    let number = store.folder_id();
                     open = Some(store);
                     StoreResult::Opened(records, number)
                 })
@@ -110,7 +110,7 @@
             voters: (1..=config.voters.len() as u64).collect(),
             // Names have no control characters, so the separator is unambiguous.
             roster: garnettally_verdicts::name_hash(&config.voters.join("\n")),
-            me: number,
+            own_voter: number,
             lease: Micros(config.lease.as_micros() as i64),
             duties: config.all_names(),
         };
@@ -169,7 +169,7 @@
     pub fn set_draining(&mut self, is_draining: bool) {
         if self.is_draining != is_draining {
             self.is_draining = is_draining;
-            self.duties.handle(time_since_boot(), if is_draining { Input::End } else { Input::Resume });
+            self.duties.handle(time_since_boot(), if is_draining { Input::Leave } else { Input::Resume });
         }
     }
 
@@ -234,11 +234,11 @@
     }
 
     /// Sends a message to a member or voter. One to this process itself is handled directly.
-    fn send(&mut self, link: &mut Link, to: To, message: &[u8]) {
+    fn send(&mut self, link: &mut Link, to: Recipient, message: &[u8]) {
         let life = match to {
-            To::Member(life) => Some(life),
-            To::Voter(v) if Some(v) == self.own_voter => Some(self.life),
-            To::Voter(v) => {
+            Recipient::Member(life) => Some(life),
+            Recipient::Voter(v) if Some(v) == self.own_voter => Some(self.life),
+            Recipient::Voter(v) => {
                 let name = self.config.voters.get(v as usize - 1);
                 let found =
                     link.other_members().find(|(id, s)| Some(&id.name) == name && *s != MemberState::Down);
@@ -261,12 +261,12 @@
     /// Logs an event of the protocol, and records changes of owners.
     fn handle_event(&mut self, net: &Net, link: &Link, event: Event) {
         match event {
-            Event::Votes => info!(net.log, "this voter takes part"),
+            Event::VotingStarted => info!(net.log, "this voter takes part"),
             Event::SteppedDown => {
                 warn!(net.log, "this voter has stepped down until it can store again";
                     "error" => &self.last_failure)
             }
-            Event::MayNotVote(Standing::Blank) => {
+            Event::MayNotVote(Standing::NoState) => {
                 info!(
                     net.log,
                     "this voter has no stored state, and asks the other voters whether they have any"
@@ -275,18 +275,20 @@
             Event::MayNotVote(standing) => {
                 error!(net.log, "this voter may not vote"; "why" => standing_name(Some(standing)))
             }
-            Event::OtherVoters(life) => {
+            Event::VotersMismatch(life) => {
                 let member =
                     link.other_members().find(|(id, _)| id.boot == life).map(|(id, _)| id.name.as_str());
                 error!(net.log, "a member's file names other voters or another order: messages ignored";
                     "member" => member);
             }
-            Event::Damaged(why) => error!(net.log, "this voter's state can't be read"; "error" => why),
-            Event::Owns(owned) => {
+            Event::StateUnreadable(why) => {
+                error!(net.log, "this voter's state can't be read"; "error" => why)
+            }
+            Event::OwnedDuties(owned) => {
                 let owned: Vec<String> = owned.iter().map(|(d, e)| format!("{d} {e}")).collect();
                 info!(net.log, "owns these duties now, by epoch"; "duties" => owned.join(", "));
             }
-            Event::Changed(change) => {
+            Event::OwnerChanged(change) => {
                 let mut previous_owner_alive = false;
                 for (id, state) in
                     link.other_members().filter(|(id, _)| id.boot == change.from || id.boot == change.to)
@@ -300,7 +302,7 @@
                     (_, true) => "handed over",
                     (_, false) => "its owner was gone",
                 };
-                info!(net.log, "a duty has a new owner"; "duty" => &change.duty, "epoch" => change.at,
+                info!(net.log, "a duty has a new owner"; "duty" => &change.duty, "epoch" => change.epoch,
                     "from" => self.name_of_process(change.from),
                     "to" => self.name_of_process(change.to), "why" => why);
                 self.changes.insert(change.duty.clone(), (change, Instant::now(), why));
@@ -347,7 +349,7 @@
             .into_iter()
             .flat_map(|l| l.duties())
             .map(|(duty, ownership)| {
-                let last = self.changes.get(duty).filter(|(c, _, _)| c.at == ownership.epoch);
+                let last = self.changes.get(duty).filter(|(c, _, _)| c.epoch == ownership.epoch);
                 json!({
                     "duty": duty, "owner": name(ownership.owner), "life": format!("{:016x}", ownership.owner),
                     "epoch": ownership.epoch,
@@ -362,8 +364,8 @@
             "voters": self.config.voters,
             "voter": self.own_voter.is_some(),
             "standing": self.own_voter.map(|_| standing_name(self.duties.standing())),
-            "leads": self.duties.leads(),
-            "decided": self.duties.ledger().map(|l| l.decided()),
+            "leads": self.duties.is_leader(),
+            "decided": self.duties.ledger().map(|l| l.decided_entries()),
             "lease_ms": self.config.lease.as_millis() as u64, "owned": owned, "duties": all,
             "store_failures": self.failure_count, "last_failure": &self.last_failure,
         })
@@ -373,16 +375,17 @@
     pub fn write_stats(&self, out: &mut String) {
         let now = time_since_boot();
         let acts = self.duties.owned().filter(|(d, e, _)| self.duties.may_act(now, d) == Some(*e)).count();
-        let votes = self.duties.standing() == Some(Standing::Votes);
+        let votes = self.duties.standing() == Some(Standing::Voting);
         for (what, n) in [
             ("owned", self.duties.owned().count() as u64),
             ("acting", acts as u64),
             ("votes", u64::from(votes)),
-            ("leads", u64::from(self.duties.leads())),
+            ("leads", u64::from(self.duties.is_leader())),
         ] {
             let _ = writeln!(out, "edge_gw.duties.{what}:{n}|g");
         }
-        for (what, n) in [("store_failures", self.failure_count), ("unread", self.duties.dropped())] {
+        for (what, n) in [("store_failures", self.failure_count), ("unread", self.duties.dropped_messages())]
+        {
             let _ = writeln!(out, "edge_gw.duties.{what}:{n}|c");
         }
     }
@@ -401,9 +404,9 @@
 fn standing_name(standing: Option<Standing>) -> &'static str {
     match standing {
         None => "down",
-        Some(Standing::Blank) => "blank",
-        Some(Standing::Lost) => "lost",
+        Some(Standing::NoState) => "blank",
+        Some(Standing::StateLost) => "lost",
         Some(Standing::OldCopy) => "old copy",
-        Some(Standing::Votes) => "votes",
+        Some(Standing::Voting) => "votes",
     }
 }
