--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Names of the drills' invariants, as their reports print them.
+// The constants from here to SIZE_NOT_TOO_LOW are names of the drills' invariants, as their reports print
+// them.
 const ALL_AGREE: &str = "all agree after the last fault";
 const REQUESTS_SERVED: &str = "each request is served";
 const NO_FALSE_DEATH: &str = "nobody without a fault is taken for dead";
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -230,8 +230,8 @@
         failed += u32::from(client.ask(&get("/x")).status() != 200);
         thread::sleep(Duration::from_millis(5));
     }
-    // Health records count for 5 s, so without the doubling traffic could return to the pool about once in 5
-    // s. Each return costs three failures and the requests that come before the next check of the pool's
+    // Health records count for 5 s, so without the doubling traffic could return to the pool about once in that
+    // time. Each return costs three failures and the requests that come before the next check of the pool's
     // health.
     let left = process.logged("the pool is left");
     assert!((1..=3).contains(&left), "the pool was left {left} times");
