--- a/src/demo.rs
+++ b/src/demo.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use garnettally_emulator::world::{Repeat, World};
 use garnettally_fleet::{Addresses, Snapshot};
-use garnettally_load::mix::{Kind, Mix};
+use garnettally_load::mix::{Mix, RequestKind};
 use garnettally_load::report::Report;
 use garnettally_load::run::{Load, Mode, Progress};
 use garnettally_load::schedule::Phase;
@@ -170,8 +170,11 @@
     let fleet = fleet.join().map_err(|_| "the fleet's thread panicked")?.map_err(|e| e.to_string())?;
     let _ = std::fs::remove_file(file);
     let report = report.map_err(|e| e.to_string())?;
-    if !report.one_answer_each() {
-        return Err(format!("not every request got exactly one answer\n{}", report.text()));
+    if !report.every_request_ended_once() {
+        return Err(format!(
+            "not every request ended in exactly one way, or an answer came without a request\n{}",
+            report.text()
+        ));
     }
     if fleet.sent_to_drained > 0 {
         return Err(format!("{} requests were sent to drained nodes", fleet.sent_to_drained));
@@ -259,7 +262,7 @@
             headers.insert("Idempotency-Key".to_string(), "{key}".to_string());
         }
         let method = if safe { "GET" } else { "POST" };
-        Kind {
+        RequestKind {
             name: class.name.clone(),
             share: class.share,
             method: method.into(),
@@ -342,7 +345,7 @@
                     fleet.late_ms.max(report.late_ms)
                 ));
             }
-            let total_worth = |count: fn(&garnettally_load::report::Part) -> u64| {
+            let total_worth = |count: fn(&garnettally_load::report::Outcomes) -> u64| {
                 let kinds = report.kinds.iter().zip(&world.classes);
                 kinds.map(|(part, class)| count(part) as f64 * class.worth).sum::<f64>()
             };
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -146,8 +146,8 @@
 }
 
 impl Load {
-    /// Sends the load, and returns the report to print. It is an error when not each request got exactly one
-    /// answer, or when the generator did not keep its schedule.
+    /// Sends the load, and returns the report to print. It is an error when a request did not end in exactly
+    /// one way, when an answer came without a request, or when the generator did not keep its schedule.
     pub fn run(&self) -> Result<String, String> {
         let rest = self.url.strip_prefix("http://").ok_or("the address must begin with http://")?;
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
@@ -162,7 +162,7 @@
             .next()
             .ok_or_else(|| format!("{host_and_port}: the name has no address"))?;
         let mix = match &self.mix {
-            None => Mix::plain(if path.is_empty() { "/" } else { path }),
+            None => Mix::single_get(if path.is_empty() { "/" } else { path }),
             Some(file) => {
                 let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
                 Mix::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?
@@ -187,7 +187,7 @@
             if is_terminal {
                 eprint!("\r{:>5.0} s  {:>7} meant  {:>7} ok  {:>6} refused  {:>5} bad  {:>5} out  p50 {:>7.1}  p99 {:>7.1} ms ",
                     progress.elapsed.as_secs_f64(), progress.meant, progress.ok, progress.refused, progress.bad,
-                    progress.out, progress.p50_ms, progress.p99_ms);
+                    progress.in_flight, progress.p50_ms, progress.p99_ms);
             }
             true
         };
@@ -200,9 +200,11 @@
             true => serde_json::to_string_pretty(&report).map_err(|e| e.to_string())? + "\n",
             false => report.text(),
         };
-        match (report.one_answer_each(), report.valid) {
+        match (report.every_request_ended_once(), report.valid) {
             (true, true) => Ok(text),
-            (false, _) => Err(format!("not every request got exactly one answer\n{text}")),
+            (false, _) => Err(format!(
+                "not every request ended in exactly one way, or an answer came without a request\n{text}"
+            )),
             (_, false) => Err(format!(
                 "the generator did not keep its schedule, so the figures are not those of this load\n{text}"
             )),
@@ -242,7 +244,7 @@
         let folder = self.out.as_ref().unwrap_or(&temporary_folder);
         let outcome = garnettally_drill::run(&script, &program, folder).map_err(|e| e.to_string());
         let report = outcome.and_then(|report| match &self.out {
-            Some(out) => report.keep(out).map(|()| report),
+            Some(out) => report.write_files(out).map(|()| report),
             None => Ok(report),
         });
         if self.out.is_none() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -65,7 +65,7 @@
     Agree(demo::Agree),
     /// Run the nodes of a world's first tier, and discovery, on loopback sockets
     Fleet(demo::Fleet),
-    /// Send a load to any HTTP/1.1 service, and check that each request gets exactly one answer
+    /// Send a load to any HTTP/1.1 service, and check that each request gets one answer
     Load(lab::Load),
     Members(members::Members),
     Duties(duties::Duties),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,7 +32,7 @@
 const REQUESTS_SERVED: &str = "each request is served";
 const NO_FALSE_DEATH: &str = "nobody without a fault is taken for dead";
 const DEATHS_NOTICED: &str = "each death is noticed by all";
-const SIZE_NOT_TOO_LOW: &str = "no size below what is held";
+const SIZE_NOT_TOO_LOW: &str = "no fleet size below its held maximum";
 
 #[test]
 fn a_death_a_leave_a_paused_process_and_a_return() {
@@ -116,7 +116,7 @@
 #[test]
 fn a_broken_member_and_an_older_version_affect_no_other_member() {
     let (broken_member, older_version) =
-        ("what one broken member says moves nobody", "another version is told apart");
+        ("no member acts on one broken member's verdicts", "another protocol version is detected");
     run_drill(
         "broken-member",
         &[ALL_AGREE, REQUESTS_SERVED, NO_FALSE_DEATH, broken_member, older_version, "strangers stay outside"],
@@ -125,8 +125,8 @@
 
 /// Invariants of the fleet's duties, as the drills' reports print them.
 const DUTY_INVARIANTS: [&str; 8] = [
-    "the sink is told at the end",
-    "the sink is told nothing twice",
+    "the sink gets exports until the end",
+    "the sink gets no export twice",
     "no epoch of two lives at the sink",
     "the sink has all members' figures",
     "each duty has an owner again",
