--- a/crates/routing/src/failover.rs
+++ b/crates/routing/src/failover.rs
@@ -36,20 +36,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Active {
-        since: Micros,
-    },
+    /// The pool has had all its traffic since this time.
+    Active { since: Micros },
     /// Traffic has left the pool; `healthy_since` is when its healthy share last came up to `return_above`,
     /// if it still is there.
-    FailedOver {
-        healthy_since: Option<Micros>,
-    },
-    Returning {
-        since: Micros,
-    },
+    FailedOver { healthy_since: Option<Micros> },
+    /// The traffic has been returning, key by key, since this time.
+    Returning { since: Micros },
 }
 
-/// Which part of its traffic a pool gets.
+/// The part of its traffic that one pool gets, and the state that decides on it.
 #[derive(Clone, Debug)]
 pub struct PoolFailover {
     rules: FailoverRules,
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether a repeat of a key could go to another pool than its first attempt did.
-    pub fn has_several(&self) -> bool {
+    pub fn has_several_pools(&self) -> bool {
         !matches!(self, PoolChoice::Single(_))
     }
 }
--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -96,8 +96,8 @@
     pub cost: Option<Duration>,
     /// Whether the client has sent this request before.
     pub repeat: bool,
-    /// The identifier of the key that the request concerns, for the decision module.
-    pub subject: Option<KeyId>,
+    /// The identifier of the request's key, by which the decision module may keep the order of requests.
+    pub order_key: Option<KeyId>,
     pub pool: PoolId,
     /// The pools that may get the request after `pool`, in order, if no attempt can have run.
     pub fallback_pools: Vec<PoolId>,
@@ -166,7 +166,7 @@
             deadline: call.deadline,
             cost: call.cost,
             repeat: call.repeat,
-            subject: call.subject.map(key_id),
+            order_key: call.order_key.map(key_id),
             pool: pool.id,
             fallback_pools: Vec::new(),
             route: None,
@@ -256,7 +256,7 @@
                     }
                     (pool, fallback_pools) = (pinned, Vec::new());
                 }
-                None if route.pools.has_several() && self.pins.is_full(at) => {
+                None if route.pools.has_several_pools() && self.pins.is_full(at) => {
                     return Err(refused(Some(RETRY_AFTER)));
                 }
                 None => {}
@@ -278,7 +278,7 @@
             deadline: Duration::from_micros(deadline.0.max(0) as u64),
             cost,
             repeat,
-            subject: key_text.as_deref().map(key_id),
+            order_key: key_text.as_deref().map(key_id),
             pool,
             fallback_pools,
             mirror: route
--- a/crates/serve/src/discovered_hosts.rs
+++ b/crates/serve/src/discovered_hosts.rs
@@ -23,9 +23,9 @@
 
 /// The departure of a host, as a service reported it.
 struct Departure {
-    /// When it was first reported.
+    /// When the departure was first reported.
     first_reported_at: Instant,
-    /// The number of the service that reported it last.
+    /// The number of the service that reported the departure last.
     service: u32,
     /// The start time of the host's process that left; a later start is a new process under the same name.
     started_at: Option<Micros>,
@@ -38,8 +38,8 @@
     service: u32,
     /// Hosts that left less than `CHANGE_ASSUMED_KNOWN_AFTER` ago, by name.
     departures: BTreeMap<String, Departure>,
-    /// Those of the departed hosts that another service still lists as ready; the module gets them as
-    /// draining for now.
+    /// The departed hosts that another service still lists as ready; the module gets them as draining for
+    /// now.
     withheld: BTreeMap<String, (Listing, Option<SocketAddr>)>,
     /// The version of the list applied last.
     version: u64,
@@ -74,8 +74,8 @@
         (self.version, self.next_request_version) = (0, 0);
     }
 
-    /// Returns as a change the withheld hosts that the service still lists so long after their departure that
-    /// it must know of it.
+    /// Returns, as a change, the withheld hosts that the service still lists although by now it must know of
+    /// their departure.
     pub fn release_withheld(&mut self, now: Instant) -> Option<HostList> {
         self.departures.retain(|_, d| now < d.first_reported_at + CHANGE_ASSUMED_KNOWN_AFTER);
         let departures = &self.departures;
@@ -88,10 +88,10 @@
         Some(change).filter(|c| !c.hosts.is_empty())
     }
 
-    /// Receives a list or a change that describes the state at `as_of` or later. Of one that is older than
-    /// the stored version only the departures count: either it is late, and would bring back hosts that have
-    /// left since, or the service counts its versions anew, and then nothing else would report these
-    /// departures. After an older list the next call requests the whole list.
+    /// Receives a list or a change that describes the state at `as_of` or later. If the list is older than
+    /// the stored version, only the departures in it count: either the list is late, and would bring back
+    /// hosts that have left since, or the service counts its versions anew, and then nothing else would
+    /// report these departures. After an older list the next call requests the whole list.
     pub fn receive_list(&mut self, list: &HostList, as_of: Instant, now: Instant) -> ListOutcome {
         if list.seq < self.version && !(list.whole && self.older_in_a_row + 1 >= OLDER_LISTS_TO_ACCEPT) {
             self.older_in_a_row += 1;
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -212,7 +212,7 @@
                 .map_or(expires, |by| expires.min(self.net.clock.unix_time(by))),
             cost: admitted.cost.map(micros).filter(|c| c.0 > 0),
             repeat: admitted.repeat,
-            key: admitted.subject,
+            key: admitted.order_key,
         };
         let exchange = Exchange {
             caller,
@@ -269,7 +269,7 @@
             deadline: original.deadline,
             cost: original.cost,
             repeat: original.repeat,
-            subject: original.subject,
+            order_key: original.order_key,
             pool: shadow,
             fallback_pools: Vec::new(),
             route: None,
@@ -516,7 +516,8 @@
             (exchange.request.clone(), exchange.pin, exchange.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
             let now = self.net.clock.unix_time(Instant::now());
-            let several = exchange.route.as_ref().is_some_and(|r| r.route.pools.has_several());
+            let has_several_pools =
+                exchange.route.as_ref().is_some_and(|r| r.route.pools.has_several_pools());
             let pinned = self.pins.record_attempt(now, key, to.pool, now + window);
             if let (Ok(number), Some(exchange)) = (pinned, self.exchanges.open.get_mut(&request)) {
                 exchange.pin_number = number;
@@ -524,7 +525,7 @@
             if pinned.is_err() {
                 // The pin can't be recorded: if the key could go to another pool, the request must not be
                 // sent.
-                if several {
+                if has_several_pools {
                     return self.attempt_ended_unpinned(unsent(Code::ConnectFailed));
                 }
                 if let Some(exchange) = self.exchanges.open.get_mut(&request) {
--- a/crates/serve/src/http.rs
+++ b/crates/serve/src/http.rs
@@ -91,8 +91,8 @@
     pub id: &'a str,
     /// The name of the request's class: the first segment of the path.
     pub class: &'a str,
-    /// The query parameter `key`: requests with the same value concern the same subject.
-    pub subject: Option<&'a str>,
+    /// The query parameter `key`: a class may keep the order of requests with the same value.
+    pub order_key: Option<&'a str>,
     /// The name of the tenant.
     pub owner: Option<&'a str>,
     /// The time within which the caller wants the response, from the arrival of the request.
@@ -131,7 +131,7 @@
     Ok(Call {
         id,
         class: path.strip_prefix('/').ok_or(HttpError(400))?.split('/').next().unwrap_or(""),
-        subject: query.split('&').find_map(|pair| pair.strip_prefix("key=")),
+        order_key: query.split('&').find_map(|pair| pair.strip_prefix("key=")),
         owner: request.owner.as_deref(),
         deadline: Duration::from_secs_f64(parse_number(
             request.deadline.as_deref().ok_or(HttpError(400))?,
--- a/crates/serve/src/pools.rs
+++ b/crates/serve/src/pools.rs
@@ -84,7 +84,7 @@
     /// Whether the pool may accept requests. A process that starts has a list of unknown age, and waits for
     /// discovery's answer for a limited time.
     pub fn is_started(&self, now: Micros) -> bool {
-        let is_usable = |standing| matches!(standing, ListFreshness::Watched | ListFreshness::Leased);
+        let is_usable = |freshness| matches!(freshness, ListFreshness::Watched | ListFreshness::Leased);
         self.is_started
             || self.decisions.list_report(now).is_none_or(|r| r.is_started || is_usable(r.freshness))
     }
