--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The tasks of this repository; `.ci/run` is what a change has to pass.
+# Common tasks of this repository. Every change has to pass `.ci/run`, which `make ci` runs.
 .PHONY: build test lint run serve check ci
 
 build:
@@ -15,7 +15,7 @@
 run: build
 	target/release/garnettally demo
 
-# FILE names the operator's file: make serve FILE=my.toml
+# FILE is the path of the operator's file, for instance: make serve FILE=my.toml
 FILE ?= deploy/example.toml
 serve: build
 	target/release/garnettally serve "$(FILE)"
