--- a/crates/config/tests/file.rs
+++ b/crates/config/tests/file.rs
@@ -107,7 +107,11 @@
             "nodes_file = \"x\"\nnodes = [",
             "f.toml:13: pools.p: it needs exactly one of nodes, nodes_file and discovery",
         ),
-        ("path_prefix = \"/\"", "path_prefix = \"x\"", "f.toml:17: routes[0].path_prefix: \"x\" is not a path"),
+        (
+            "path_prefix = \"/\"",
+            "path_prefix = \"x\"",
+            "f.toml:17: routes[0].path_prefix: \"x\" is not a path",
+        ),
         (
             "path_prefix = \"/\"",
             "path_prefix = \"/\"\npath = \"/\"",
