--- a/crates/model/src/interface.rs
+++ b/crates/model/src/interface.rs
@@ -382,8 +382,8 @@
 }
 
 /// The time after which an instance is treated as if it knew of a change, whether or not it received the
-/// change: discovery has had the change and could be reached for this long. The time applies to real sockets,
-/// as the test checks that the operators always run.
+/// change: discovery has had the change and could be reached for this long. The time applies to real sockets;
+/// the operators have a permanent test of it.
 pub const CHANGE_ASSUMED_KNOWN_AFTER: std::time::Duration = std::time::Duration::from_secs(6);
 
 /// What was observed of a call to discovery that failed, or of a watch that ended. The names of the variants
