--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -1,86 +1,94 @@
-//! Faults, as they begin and end.
+//! The begin and the end of faults.
 
 use super::*;
 
 impl Day<'_> {
-    pub(super) fn fault(&mut self, now: Micros, i: usize, begins: bool) {
-        let (_, _, nodes, size) = self.faults[i].clone();
-        match &self.world.faults[i].what {
-            What::Slow(_) => {
-                for n in nodes {
-                    self.places[n].slow = if begins { size } else { 1.0 };
-                    self.set_speed(now, n);
+    pub(super) fn change_fault(&mut self, now: Micros, fault: usize, begins: bool) {
+        let (_, _, nodes, size) = self.faults[fault].clone();
+        match &self.world.faults[fault].what {
+            FaultKind::Slow(_) => {
+                for node in nodes {
+                    self.nodes[node].slowdown = if begins { size } else { 1.0 };
+                    self.update_speed(now, node);
                 }
             }
-            What::Hang => {
-                for n in nodes {
-                    self.places[n].hung = begins;
-                    self.set_speed(now, n);
+            FaultKind::Hang => {
+                for node in nodes {
+                    self.nodes[node].hung = begins;
+                    self.update_speed(now, node);
                 }
             }
-            What::FastErrors(_) => {
-                nodes.iter().for_each(|&n| self.places[n].fast_errors = if begins { size } else { 0.0 })
+            FaultKind::FastErrors(_) => nodes
+                .iter()
+                .for_each(|&node| self.nodes[node].fast_error_share = if begins { size } else { 0.0 }),
+            FaultKind::Spoilt(_) => {
+                nodes.iter().for_each(|&node| self.nodes[node].spoilt_share = if begins { size } else { 0.0 })
             }
-            What::Spoilt(_) => {
-                nodes.iter().for_each(|&n| self.places[n].spoilt = if begins { size } else { 0.0 })
+            FaultKind::LateReports(_) => {
+                self.added_report_delay = Micros(if begins { size as i64 } else { 0 })
             }
-            What::LateReports(_) => self.late_reports = Micros(if begins { size as i64 } else { 0 }),
-            What::Burst(_) => self.burst = if begins { size } else { 1.0 },
-            What::Vanish => {
-                for n in nodes {
+            FaultKind::Burst(_) => self.burst_factor = if begins { size } else { 1.0 },
+            FaultKind::Vanish => {
+                for node in nodes {
                     if begins {
-                        self.places[n].vanished = true;
-                        self.set_speed(now, n);
-                        self.announce(now, n, ListedState::Removed);
+                        self.nodes[node].vanished = true;
+                        self.update_speed(now, node);
+                        self.announce_node(now, node, ListedState::Removed);
                     } else {
-                        // It comes back as a new process: what it held is reset.
-                        self.places[n].vanished = false;
-                        self.drop_all(now, n);
-                        self.start_node(now, n);
+                        // The node returns as a new process: the connections of its former requests are
+                        // reset.
+                        self.nodes[node].vanished = false;
+                        self.reset_node(now, node);
+                        self.start_node(now, node);
                     }
                 }
             }
-            What::Restart => {
-                for n in nodes {
+            FaultKind::Restart => {
+                for node in nodes {
                     if begins {
-                        self.places[n].draining = true;
-                        self.announce(now, n, ListedState::Draining);
-                        self.events.after(Micros(1_000_000), Event::Stop(n));
+                        self.nodes[node].draining = true;
+                        self.announce_node(now, node, ListedState::Draining);
+                        self.events.schedule_after(Micros(1_000_000), Event::StopNode(node));
                     } else {
-                        self.start_node(now, n);
+                        self.start_node(now, node);
                     }
                 }
             }
-            What::KillBalancers => {
-                for b in nodes {
+            FaultKind::KillBalancers => {
+                for balancer in nodes {
                     if begins {
-                        self.kill_balancer(now, b);
+                        self.kill_balancer(now, balancer);
                     } else {
-                        self.start_balancer(now, b);
+                        self.start_balancer(now, balancer);
                     }
                 }
             }
-            What::StopBalancers => {
-                for b in nodes {
+            FaultKind::StopBalancers => {
+                for balancer in nodes {
                     if begins {
-                        self.stop_balancer(b);
+                        self.stop_balancer(balancer);
                     } else {
-                        self.continue_balancer(now, b);
+                        self.continue_balancer(now, balancer);
                     }
                 }
             }
-            What::Partition => self.cut = begins.then_some(size as usize),
-            What::StaleList => {
-                self.stale = begins;
+            FaultKind::Partition => self.partitioned_zone = begins.then_some(size as usize),
+            FaultKind::StaleList => {
+                self.list_is_stale = begins;
                 if !begins {
-                    for (b, node, state, since) in std::mem::take(&mut self.held_news) {
-                        self.events.after(Micros(0), Event::Told(b, node, state, since));
+                    for (balancer, node, state, since) in std::mem::take(&mut self.withheld_updates) {
+                        self.events
+                            .schedule_after(Micros(0), Event::ListUpdate(balancer, node, state, since));
                     }
                 }
             }
-            What::LyingList => {
-                for n in nodes {
-                    self.announce(now, n, if begins { ListedState::Removed } else { ListedState::Ready });
+            FaultKind::LyingList => {
+                for node in nodes {
+                    self.announce_node(
+                        now,
+                        node,
+                        if begins { ListedState::Removed } else { ListedState::Ready },
+                    );
                 }
             }
         }
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -1,22 +1,22 @@
-//! One run of a world: clients, balancers, nodes, the list and the faults, one event after the other.
+//! One run of a world: clients, balancers, nodes, the node list and the faults, as a sequence of events.
 
 mod balancers;
 mod clients;
 mod end;
 mod faults;
 mod links;
-mod lives;
 mod nodes;
+mod processes;
 
-use crate::draw::Stream;
+use crate::draw::RandomStream;
 use crate::events::Events;
 use crate::fleet::{Fleet, Step};
-use crate::node::{Brought, Build, Node, Thrash};
-use crate::policy::{self, Kind, Policy, Truth, Truths};
-use crate::report::{histogram, latency, Part, Report};
-use crate::rules::{Allows, Checker, Ran, ANSWER_GRACE};
-use crate::world::{Arrivals, Repeat, What, World};
-use garnettally_decisions::facade::{Code, Decision, PickRequest, Report as News, RequestId};
+use crate::node::{Admission, Node, NodeConfig, Thrash};
+use crate::policy::{self, Policy, PolicyKind, TrueNodeState, TrueNodeStates};
+use crate::report::{histogram, latency_percentiles, OutcomeCounts, Report};
+use crate::rules::{AllowedRepeats, Execution, RuleChecker, ANSWER_GRACE};
+use crate::world::{Arrivals, FaultKind, Repeat, World};
+use garnettally_decisions::facade::{Code, Decision, PickRequest, Report as PolicyReport, RequestId};
 use garnettally_model::*;
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
@@ -24,86 +24,89 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What happens.
+/// An event of the run.
 enum Event {
-    /// The next client comes.
-    Client,
+    /// The next client may arrive.
+    ClientArrives,
     /// A call reaches its balancer.
-    Reach(u64),
-    /// A balancer hears of what has come in, or lets time pass.
-    Consult(usize),
+    CallReachesBalancer(u64),
+    /// A balancer's policy processes its input and its timers.
+    ConsultPolicy(usize),
     /// An attempt reaches its node.
-    Arrive(u64),
-    /// Something at a node is done; the number tells the latest such event from those before it.
-    Done(usize, u64),
-    /// An attempt's end reaches its balancer.
-    Back(u64, Code),
-    /// An attempt's time is up, or its connection has not come up in time.
-    Expire(u64, Code),
-    /// A node hears that an attempt was called off.
-    CallOff(usize, u64),
-    /// A call's final answer reaches who asked.
-    Answer(u64, Final),
-    /// Who asked gives up.
-    GiveUp(u64),
-    /// The balancer hears of it.
-    Gone(u64),
-    /// A client tries again.
-    Again(u32),
-    /// A balancer is told of a node.
-    Told(usize, usize, ListedState, Option<Micros>),
-    /// A watch answers with the whole list.
-    Watched(usize),
-    /// A fault begins, ends.
-    Fault(usize, bool),
-    /// A node that was draining stops.
-    Stop(usize),
-    /// A node gets warmer.
-    Warm(usize),
-    /// A node pauses, goes on.
-    Pause(usize, bool),
-    /// A datagram reaches a balancer from another.
-    Datagram(usize, Vec<u8>),
-    /// A balancer looks after its link.
-    Link(usize),
+    AttemptReachesNode(u64),
+    /// The state of a node changes by itself; the number tells the latest such event from superseded ones.
+    NodeProgress(usize, u64),
+    /// The end of an attempt reaches its balancer.
+    AttemptEndReachesBalancer(u64, Code),
+    /// An attempt times out, or its connection has not been established in time.
+    AttemptExpires(u64, Code),
+    /// The cancellation of an attempt reaches its node.
+    CancelReachesNode(usize, u64),
+    /// The final answer to a call reaches its caller.
+    AnswerReachesCaller(u64, FinalAnswer),
+    /// The caller stops waiting for an answer to its call.
+    CallerGivesUp(u64),
+    /// The balancer notices that the caller of a call has disconnected.
+    CallerLeaves(u64),
+    /// A client retries.
+    ClientRetries(u32),
+    /// A balancer receives the state of a node: balancer, node, state, and when the node started.
+    ListUpdate(usize, usize, ListedState, Option<Micros>),
+    /// A balancer receives the whole list in answer to its watch.
+    WatchAnswered(usize),
+    /// A fault begins (true) or ends (false).
+    FaultChanges(usize, bool),
+    /// A draining node stops.
+    StopNode(usize),
+    /// A cold node takes the next step of its warm-up.
+    WarmNode(usize),
+    /// A node pauses (true) or resumes (false).
+    PauseChanges(usize, bool),
+    /// A datagram of another balancer reaches this balancer.
+    DatagramArrives(usize, Vec<u8>),
+    /// A balancer's link layer processes its timers.
+    LinkTimer(usize),
 }
 
+/// The final answer to a call; a refusal may name the time after which the client may retry.
 #[derive(Clone, Copy, PartialEq)]
-enum Final {
+enum FinalAnswer {
     Served,
     Refused(Option<Micros>),
     Failed,
 }
 
-/// Who asked.
+/// The caller of a call.
 #[derive(Clone, Copy)]
-enum Asker {
+enum Caller {
     Client(u32),
-    /// A request that a node holds, for which it calls the next tier.
-    Job(u64),
+    /// A request in process at a node, given by its attempt, for which the node calls the next tier.
+    NodeRequest(u64),
 }
 
-/// A call: a client's try, or a node's call of the next tier.
+/// A call to a balancer: one try of a client, or a node's call to the next tier.
 struct Call {
     tier: usize,
     balancer: usize,
     class: usize,
     tenant: usize,
-    asker: Asker,
+    caller: Caller,
     expires: Micros,
     repeat: bool,
     key: u64,
-    /// Work at this tier, and calls of the next one.
+    /// The work at this tier in microseconds; `calls` counts the calls that the request makes to the next
+    /// tier.
     work: f64,
     calls: u32,
-    /// Attempts by number.
+    /// The identifiers of the attempts, by their numbers within the call.
     attempts: Vec<u64>,
-    out: u32,
+    /// The number of attempts whose end the balancer does not know yet.
+    in_flight: u32,
     answered: bool,
-    /// Who asked has gone away.
-    left: bool,
-    /// The balancer has it.
-    taken: bool,
+    /// The caller no longer waits for an answer.
+    caller_left: bool,
+    /// The balancer has received the call.
+    accepted: bool,
 }
 
 struct Attempt {
@@ -112,55 +115,66 @@
     node: usize,
     balancer: usize,
     sent: Micros,
-    /// It goes on a new connection.
-    fresh: bool,
-    /// Its end is on its way or has come.
+    /// The attempt opens a new connection.
+    new_connection: bool,
+    /// The balancer knows the end of the attempt, or has given it up.
     ended: bool,
+    /// The node has received the attempt.
     arrived: bool,
-    came: Micros,
-    /// Requests that its node held when it came.
-    came_at: usize,
+    arrived_at: Micros,
+    /// The number of requests at the node when the attempt arrived.
+    load_on_arrival: usize,
+    /// The calls to the next tier that are still to be made.
     segments_left: u32,
-    segment: f64,
-    /// The call of the next tier that it waits for.
-    waits: Option<u64>,
-    /// It has run to its end.
-    done: bool,
+    /// The work between two calls to the next tier, in microseconds.
+    segment_work: f64,
+    /// The call to the next tier for which the attempt waits.
+    awaited_call: Option<u64>,
+    /// The node has finished the attempt.
+    finished: bool,
 }
 
+/// A client with its one request.
 struct Client {
     class: usize,
     tenant: usize,
-    first: Micros,
+    first_try_at: Micros,
     tries: u32,
     key: u64,
     work: f64,
     calls: u32,
-    counts: bool,
-    over: bool,
+    /// The client arrived after the warm-up, so its request counts in the results.
+    counted: bool,
+    /// The outcome of the request is final.
+    settled: bool,
 }
 
-struct Place {
+/// A node with its place in the world and the faults that affect it.
+struct EmulatedNode {
     tier: usize,
     zone: usize,
     cell: usize,
-    node: Node,
-    /// The latest event about it.
-    number: u64,
-    cold_from: Option<Micros>,
-    slow: f64,
+    processor: Node,
+    /// The number of the latest [`Event::NodeProgress`] of this node.
+    event_number: u64,
+    cold_since: Option<Micros>,
+    /// The divisor of the speed that a fault sets.
+    slowdown: f64,
     hung: bool,
     vanished: bool,
     stopped: bool,
     draining: bool,
     paused: bool,
-    fast_errors: f64,
-    spoilt: f64,
+    /// The part of requests that fail at once, set by a fault.
+    fast_error_share: f64,
+    /// The part of requests that end in an error after their work, set by a fault.
+    spoilt_share: f64,
     connections: usize,
-    since: Option<Micros>,
-    report: (Micros, f64),
-    /// Keys that its cell's nodes have seen are kept by the cell.
-    nominal: f64,
+    started_at: Option<Micros>,
+    /// The time and the value of the latest load report.
+    load_report: (Micros, f64),
+    /// The work that the node can do in a microsecond without faults.
+    nominal_capacity: f64,
 }
 
 struct Balancer {
@@ -168,122 +182,137 @@
     zone: usize,
     policy: Box<dyn Policy>,
     inbox: Vec<Inbox>,
-    due: Option<Micros>,
-    life: Life,
-    /// What comes to it while it stands still.
-    held: Vec<Event>,
-    /// Idle connections by node, with the time since which they idle.
+    /// When the policy is consulted next.
+    consult_at: Option<Micros>,
+    process: ProcessState,
+    /// Events that arrive while the process is stopped.
+    queued_events: Vec<Event>,
+    /// Idle connections by node, each with the time since which it has been idle.
     idle: FxHashMap<usize, Vec<Micros>>,
 }
 
-/// What a balancer's process is doing.
+/// The state of a balancer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Runs,
-    /// It stands still: what comes to it waits in its sockets.
+enum ProcessState {
+    Running,
+    /// The process is stopped: input waits in its sockets.
     Stopped,
-    /// It was killed, and has not started anew yet.
+    /// The process was killed, and has not started anew yet.
     Dead,
 }
 
+/// An input of a balancer's policy.
 enum Inbox {
-    Ask(PickRequest),
-    News(News),
+    Request(PickRequest),
+    Report(PolicyReport),
 }
 
+/// The worth of the requests that started within one second of the run.
 #[derive(Clone, Copy, Default)]
-struct Second {
-    asked: f64,
-    earned: f64,
+struct SecondTotals {
+    worth_asked: f64,
+    worth_earned: f64,
 }
 
-/// Random numbers, one stream a purpose.
-struct Streams {
-    arrivals: Stream,
-    clients: Stream,
-    work: Stream,
-    network: Stream,
-    nodes: Stream,
-    errors: Stream,
-    pauses: Stream,
-    list: Stream,
-    reports: Stream,
-    links: Stream,
-    /// What clients draw at later tries, which depend on what became of the first.
-    retries: Stream,
-    /// The work of calls to later tiers, which depend on which of the first tier ran.
-    below: Stream,
+/// The streams of random numbers, one for each purpose.
+struct RandomStreams {
+    arrivals: RandomStream,
+    clients: RandomStream,
+    work: RandomStream,
+    network: RandomStream,
+    nodes: RandomStream,
+    errors: RandomStream,
+    pauses: RandomStream,
+    list: RandomStream,
+    reports: RandomStream,
+    links: RandomStream,
+    /// Draws of clients at retries. They are separate because they depend on the outcomes of first tries.
+    retries: RandomStream,
+    /// The work of calls to later tiers. It is separate because it depends on which requests ran at the first
+    /// tier.
+    later_tiers: RandomStream,
 }
 
-/// A run.
+/// One run of a world under a policy.
 pub struct Day<'w> {
     world: &'w World,
     seed: u64,
-    kind: Kind,
-    shape: Shape<'w>,
+    kind: PolicyKind,
+    wrap_policy: PolicyHook<'w>,
     events: Events<Event>,
-    end: Micros,
-    draws: Streams,
-    places: Vec<Place>,
-    /// The first node of each tier.
-    first: Vec<usize>,
+    /// When clients stop arriving.
+    arrivals_end: Micros,
+    random: RandomStreams,
+    nodes: Vec<EmulatedNode>,
+    /// The index of the first node of each tier.
+    first_node: Vec<usize>,
     balancers: Vec<Balancer>,
     fleet: Option<Fleet>,
-    /// The balancer of each node for the next tier.
-    below: Vec<usize>,
+    /// By node: the balancer of its calls to the next tier; `usize::MAX` in the last tier.
+    next_tier_balancer: Vec<usize>,
     calls: FxHashMap<u64, Call>,
     attempts: FxHashMap<u64, Attempt>,
     clients: Vec<Client>,
-    next: u64,
-    truths: Vec<Truths>,
-    /// Keys by cell: when they were first seen.
-    keys: FxHashMap<(usize, usize, u64), Micros>,
+    last_id: u64,
+    /// The true states of the nodes, by tier.
+    true_states: Vec<TrueNodeStates>,
+    /// By tier, cell and key: when a node of the cell accepted a request with the key.
+    seen_keys: FxHashMap<(usize, usize, u64), Micros>,
+    /// Of each fault: its begin, its end, the affected nodes or balancers, and its drawn size.
     faults: Vec<(Micros, Micros, Vec<usize>, f64)>,
-    late_reports: Micros,
-    burst: f64,
-    stale: bool,
-    held_news: Vec<(usize, usize, ListedState, Option<Micros>)>,
-    cut: Option<usize>,
-    /// How often balancers have started anew.
-    starts: u64,
+    /// The additional delay of load reports that a fault sets.
+    added_report_delay: Micros,
+    /// The factor of the arrival rate that a fault sets.
+    burst_factor: f64,
+    list_is_stale: bool,
+    /// Updates of the list that a stale list has not delivered yet.
+    withheld_updates: Vec<(usize, usize, ListedState, Option<Micros>)>,
+    /// The zone that a partition cuts off from the others.
+    partitioned_zone: Option<usize>,
+    /// The number of restarts of balancers so far.
+    restarts: u64,
     bursting: bool,
     burst_until: Micros,
-    trace_at: usize,
-    trace_round: Micros,
-    rules: Checker,
-    served: Histogram<u64>,
-    seconds: Vec<Second>,
-    parts: Vec<Part>,
-    tenants: Vec<Part>,
-    all: Part,
-    tries: u64,
-    first_sends: u64,
-    sends: u64,
-    decisions: u64,
-    useful: f64,
+    trace_index: usize,
+    trace_round_start: Micros,
+    checker: RuleChecker,
+    served_latency: Histogram<u64>,
+    /// The totals by second of the run.
+    seconds: Vec<SecondTotals>,
+    class_totals: Vec<OutcomeCounts>,
+    tenant_totals: Vec<OutcomeCounts>,
+    totals: OutcomeCounts,
+    client_tries: u64,
+    first_tier_attempts: u64,
+    attempts_sent: u64,
+    policy_calls: u64,
+    /// The work, in microseconds, of the calls that were answered.
+    useful_work: f64,
 }
 
-/// What may change each policy before it starts.
-pub type Shape<'a> = &'a mut dyn FnMut(Box<dyn Policy>) -> Box<dyn Policy>;
+/// A function that may replace each policy before it starts.
+pub type PolicyHook<'a> = &'a mut dyn FnMut(Box<dyn Policy>) -> Box<dyn Policy>;
 
-/// Runs a world under a policy. `shape` may change each policy before it starts, as mutants in tests do.
-pub fn run_with<'w>(world: &'w World, seed: u64, kind: Kind, shape: Shape<'w>) -> Report {
-    let mut day = Day::new(world, seed, kind, shape);
+/// Runs a world under a policy. `wrap_policy` may replace each policy before it starts; tests use it to break
+/// rules on purpose.
+pub fn run_with<'w>(world: &'w World, seed: u64, kind: PolicyKind, wrap_policy: PolicyHook<'w>) -> Report {
+    let mut day = Day::new(world, seed, kind, wrap_policy);
     day.run();
-    day.report(seed, kind)
+    day.into_report(seed, kind)
 }
 
 /// Runs a world under a policy.
-pub fn run(world: &World, seed: u64, kind: Kind) -> Report {
+pub fn run(world: &World, seed: u64, kind: PolicyKind) -> Report {
     run_with(world, seed, kind, &mut |policy| policy)
 }
 
-const STEPS_TO_WARM: i64 = 16;
+/// The number of steps in which a cold node's capacity rises.
+const WARM_UP_STEPS: i64 = 16;
 
 impl<'w> Day<'w> {
-    fn new(world: &'w World, seed: u64, kind: Kind, shape: Shape<'w>) -> Day<'w> {
-        let stream = |purpose| Stream::new(seed, purpose, 0);
-        let draws = Streams {
+    fn new(world: &'w World, seed: u64, kind: PolicyKind, wrap_policy: PolicyHook<'w>) -> Day<'w> {
+        let stream = |purpose| RandomStream::new(seed, purpose, 0);
+        let random = RandomStreams {
             arrivals: stream("arrivals"),
             clients: stream("clients"),
             work: stream("work"),
@@ -291,55 +320,55 @@
             nodes: stream("nodes"),
             errors: stream("errors"),
             pauses: stream("pauses"),
-            below: stream("below"),
+            later_tiers: stream("below"),
             list: stream("list"),
             reports: stream("reports"),
             links: stream("links"),
             retries: stream("retries"),
         };
-        let part = |name: &str| Part { name: name.to_string(), ..Part::default() };
+        let counts = |name: &str| OutcomeCounts { name: name.to_string(), ..OutcomeCounts::default() };
         let seconds = (world.lasts.0 .0 / 1_000_000 + 2) as usize;
         let mut day = Day {
             world,
             seed,
             kind,
-            shape,
+            wrap_policy,
             events: Events::default(),
-            end: world.lasts.0,
-            draws,
-            places: Vec::new(),
-            first: Vec::new(),
+            arrivals_end: world.lasts.0,
+            random,
+            nodes: Vec::new(),
+            first_node: Vec::new(),
             balancers: Vec::new(),
             fleet: None,
-            below: Vec::new(),
+            next_tier_balancer: Vec::new(),
             calls: FxHashMap::default(),
             attempts: FxHashMap::default(),
             clients: Vec::new(),
-            next: 0,
-            truths: Vec::new(),
-            keys: FxHashMap::default(),
+            last_id: 0,
+            true_states: Vec::new(),
+            seen_keys: FxHashMap::default(),
             faults: Vec::new(),
-            late_reports: Micros(0),
-            burst: 1.0,
-            stale: false,
-            held_news: Vec::new(),
-            cut: None,
-            starts: 0,
+            added_report_delay: Micros(0),
+            burst_factor: 1.0,
+            list_is_stale: false,
+            withheld_updates: Vec::new(),
+            partitioned_zone: None,
+            restarts: 0,
             bursting: false,
             burst_until: Micros(0),
-            trace_at: 0,
-            trace_round: Micros(0),
-            rules: Checker::default(),
-            served: histogram(),
-            seconds: vec![Second::default(); seconds],
-            parts: world.classes.iter().map(|c| part(&c.name)).collect(),
-            tenants: world.tenants.iter().map(|t| part(&t.name)).collect(),
-            all: part("all"),
-            tries: 0,
-            first_sends: 0,
-            sends: 0,
-            decisions: 0,
-            useful: 0.0,
+            trace_index: 0,
+            trace_round_start: Micros(0),
+            checker: RuleChecker::default(),
+            served_latency: histogram(),
+            seconds: vec![SecondTotals::default(); seconds],
+            class_totals: world.classes.iter().map(|c| counts(&c.name)).collect(),
+            tenant_totals: world.tenants.iter().map(|t| counts(&t.name)).collect(),
+            totals: counts("all"),
+            client_tries: 0,
+            first_tier_attempts: 0,
+            attempts_sent: 0,
+            policy_calls: 0,
+            useful_work: 0.0,
         };
         day.build();
         day
@@ -348,99 +377,107 @@
     fn build(&mut self) {
         let (world, seed) = (self.world, self.seed);
         for (t, tier) in world.tiers.iter().enumerate() {
-            self.first.push(self.places.len());
-            let mut truths = Vec::with_capacity(tier.nodes);
+            self.first_node.push(self.nodes.len());
+            let mut true_states = Vec::with_capacity(tier.nodes);
             for i in 0..tier.nodes {
-                let s = &mut self.draws.nodes;
+                let stream = &mut self.random.nodes;
                 let thrash = tier.thrash.as_ref().map(|t| Thrash {
                     above: t.above,
                     after: t.after.0,
-                    factor: t.factor.draw(s),
+                    factor: t.factor.draw(stream),
                     calm: t.calm.0,
                 });
-                let build = Build {
-                    cores: tier.cores.draw(s),
-                    speed: tier.speed.draw(s),
+                let config = NodeConfig {
+                    cores: tier.cores.draw(stream),
+                    speed: tier.speed.draw(stream),
                     slots: tier.slots,
                     queue: tier.queue,
                     cancel_stops: tier.cancel_stops,
                     thrash,
                 };
-                let nominal = build.cores * build.speed;
-                truths.push(Truth { held: 0, capacity: nominal, latency: Vec::new() });
-                // Zones take turns; a cell lies within one zone.
+                let nominal_capacity = config.cores * config.speed;
+                true_states.push(TrueNodeState {
+                    in_flight: 0,
+                    capacity: nominal_capacity,
+                    mean_time: Vec::new(),
+                });
+                // Nodes are assigned to the zones in turn; a cell lies within one zone.
                 let zones = world.zones.len();
                 let (zone, cell) = (i % zones, i / zones / tier.cell * zones + i % zones);
-                self.places.push(Place {
+                self.nodes.push(EmulatedNode {
                     tier: t,
                     zone,
                     cell,
-                    node: Node::new(build, Micros(0)),
-                    number: 0,
-                    cold_from: None,
-                    slow: 1.0,
+                    processor: Node::new(config, Micros(0)),
+                    event_number: 0,
+                    cold_since: None,
+                    slowdown: 1.0,
                     hung: false,
                     vanished: false,
                     stopped: false,
                     draining: false,
                     paused: false,
-                    fast_errors: 0.0,
-                    spoilt: 0.0,
+                    fast_error_share: 0.0,
+                    spoilt_share: 0.0,
                     connections: 0,
-                    since: None,
-                    report: (Micros(-1), 0.0),
-                    nominal,
+                    started_at: None,
+                    load_report: (Micros(-1), 0.0),
+                    nominal_capacity,
                 });
-                if let Some(p) = &tier.pauses {
-                    let wait = self.draws.pauses.exponential(p.every.0 .0 as f64);
-                    self.events.at(Micros(wait as i64), Event::Pause(self.places.len() - 1, true));
+                if let Some(pauses) = &tier.pauses {
+                    let wait = self.random.pauses.exponential(pauses.every.0 .0 as f64);
+                    self.events
+                        .schedule_at(Micros(wait as i64), Event::PauseChanges(self.nodes.len() - 1, true));
                 }
             }
-            self.truths.push(Rc::new(RefCell::new(truths)));
+            self.true_states.push(Rc::new(RefCell::new(true_states)));
         }
-        // The first tier's balancers, then one for each node that has a tier below it.
+        // The first tier's balancers, then one for each node of a tier that is not the last.
         for i in 0..world.tiers[0].balancers {
             self.add_balancer(0, i % world.zones.len());
         }
-        self.below = vec![usize::MAX; self.places.len()];
-        for at in 0..self.places.len() {
-            let below = self.places[at].tier + 1;
+        self.next_tier_balancer = vec![usize::MAX; self.nodes.len()];
+        for node in 0..self.nodes.len() {
+            let below = self.nodes[node].tier + 1;
             if below < world.tiers.len() {
-                self.below[at] = self.balancers.len();
-                self.add_balancer(below, self.places[at].zone);
+                self.next_tier_balancer[node] = self.balancers.len();
+                self.add_balancer(below, self.nodes[node].zone);
             }
         }
         if let Some(link) = &world.fleet {
             let fleet = Fleet::new(world, link, seed);
-            for (member, at) in fleet.starts().into_iter().enumerate() {
-                self.events.at(at, Event::Link(member));
+            for (member, at) in fleet.start_times().into_iter().enumerate() {
+                self.events.schedule_at(at, Event::LinkTimer(member));
             }
             self.fleet = Some(fleet);
         }
-        let mut s = Stream::new(seed, "faults", 0);
+        let mut stream = RandomStream::new(seed, "faults", 0);
         for (i, f) in world.faults.iter().enumerate() {
-            let tier = &world.tiers[world.tier_of(f)];
-            let at = f.at.draw(&mut s);
-            let end = at + f.lasts.draw(&mut s);
-            // Balancers that are meant are numbered from 0, nodes from the first of their tier.
-            let (of, from) = match f.what.of_balancers() {
+            let tier = &world.tiers[world.tier_index(f)];
+            let at = f.at.draw(&mut stream);
+            let end = at + f.lasts.draw(&mut stream);
+            // Balancers are numbered from 0, nodes from the first node of their tier.
+            let (total, first) = match f.what.targets_balancers() {
                 true => (tier.balancers, 0),
-                false => (tier.nodes, self.first[world.tier_of(f)]),
+                false => (tier.nodes, self.first_node[world.tier_index(f)]),
             };
-            let n = ((f.share.draw(&mut s) * of as f64).round() as usize).max(1);
-            let nodes = s.some(n, of).into_iter().map(|n| from + n).collect();
+            let count = ((f.share.draw(&mut stream) * total as f64).round() as usize).max(1);
+            let nodes = stream.sample_indices(count, total).into_iter().map(|i| first + i).collect();
             let size = match &f.what {
-                What::Slow(b) | What::Burst(b) | What::FastErrors(b) | What::Spoilt(b) => b.draw(&mut s),
-                What::LateReports(b) => b.draw(&mut s).0 as f64,
-                What::Partition => s.place(world.zones.len()) as f64,
+                FaultKind::Slow(b)
+                | FaultKind::Burst(b)
+                | FaultKind::FastErrors(b)
+                | FaultKind::Spoilt(b) => b.draw(&mut stream),
+                FaultKind::LateReports(b) => b.draw(&mut stream).0 as f64,
+                FaultKind::Partition => stream.index(world.zones.len()) as f64,
                 _ => 0.0,
             };
             self.faults.push((at, end, nodes, size));
-            self.events.at(at, Event::Fault(i, true));
-            self.events.at(end, Event::Fault(i, false));
+            self.events.schedule_at(at, Event::FaultChanges(i, true));
+            self.events.schedule_at(end, Event::FaultChanges(i, false));
         }
-        let wait = self.next_arrival(Micros(0));
-        self.events.at(wait, Event::Client);
+        let wait = self.time_to_next_arrival(Micros(0));
+        self.events.schedule_at(wait, Event::ClientArrives);
     }
 
     fn add_balancer(&mut self, tier: usize, zone: usize) {
@@ -451,17 +488,18 @@
             tier,
             zone,
             policy,
-            inbox: vec![Inbox::News(News::InitialList(known))],
-            due: Some(Micros(0)),
-            life: Life::Runs,
-            held: Vec::new(),
+            inbox: vec![Inbox::Report(PolicyReport::InitialList(known))],
+            consult_at: Some(Micros(0)),
+            process: ProcessState::Running,
+            queued_events: Vec::new(),
             idle: FxHashMap::default(),
         };
         self.balancers.push(balancer);
-        self.events.at(Micros(0), Event::Consult(id));
+        self.events.schedule_at(Micros(0), Event::ConsultPolicy(id));
     }
 
-    /// The policy of a balancer that starts now, for the so-manieth time.
+    /// Creates the policy of a balancer that starts now. `starts` is the number of restarts of balancers so
+    /// far.
     fn new_policy(
         &mut self,
         id: usize,
@@ -471,10 +509,10 @@
         now: Micros,
     ) -> Box<dyn Policy> {
         let (world, seed) = (self.world, self.seed);
-        let t = &world.tiers[tier];
-        let instances = if tier == 0 { t.balancers } else { world.tiers[tier - 1].nodes };
+        let tier_config = &world.tiers[tier];
+        let instances = if tier == 0 { tier_config.balancers } else { world.tiers[tier - 1].nodes };
         let base = Settings::default();
-        let b = &world.balancers;
+        let abilities = &world.balancers;
         let classes = world.classes.iter().map(|c| Class {
             aim: c.aim.0,
             deadline: c.deadline.0,
@@ -490,21 +528,21 @@
         let settings = Settings {
             instances: instances as u32,
             instance_index: (id % instances) as u32,
-            resolution: b.resolution.0,
-            idle_close: t.idle.0,
+            resolution: abilities.resolution.0,
+            idle_close: tier_config.idle.0,
             zone: zone as u32,
             tier: tier as u32,
             classes: classes.collect(),
             tenant_quota: world.tenants.iter().map(|t| t.quota.unwrap_or(f64::INFINITY)).collect(),
             watch_on_request: true,
-            parallel_attempts: b.parallel,
-            may_cancel: b.cancel,
-            max_attempts: b.attempts,
-            retry_after: b.retry_after_max.0 > Micros(0),
-            max_retry_after: b.retry_after_max.0,
-            cold_share: t.cold_share,
-            ramp_time: t.warm_after.0,
-            cold_overload_window: t.tip_window.0,
+            parallel_attempts: abilities.parallel,
+            may_cancel: abilities.cancel,
+            max_attempts: abilities.attempts,
+            retry_after: abilities.retry_after_max.0 > Micros(0),
+            max_retry_after: abilities.retry_after_max.0,
+            cold_share: tier_config.cold_share,
+            ramp_time: tier_config.warm_after.0,
+            cold_overload_window: tier_config.tip_window.0,
             ..base
         };
         let names = Names::new(
@@ -513,22 +551,28 @@
             world.zones.clone(),
             Vec::new(),
         );
-        let own_seed = Stream::new(seed, "balancer", id as u64 | starts << 32).bits();
-        let policy = policy::new(self.kind, Site { settings, names }, own_seed, now, &self.truths[tier]);
-        (self.shape)(policy)
+        let own_seed = RandomStream::new(seed, "balancer", id as u64 | starts << 32).bits();
+        let policy = policy::create_policy(
+            self.kind,
+            Site { settings, names },
+            own_seed,
+            now,
+            &self.true_states[tier],
+        );
+        (self.wrap_policy)(policy)
     }
 
-    /// The whole list of a tier, in the order of its nodes: they are numbered by it.
+    /// The whole list of a tier, in the order of its nodes; policies number the nodes by this order.
     fn whole_list(&self, tier: usize) -> HostList {
-        let from = self.first[tier];
-        let hosts =
-            (from..from + self.world.tiers[tier].nodes).map(|n| (self.listing(n, self.state(n)), None));
+        let from = self.first_node[tier];
+        let hosts = (from..from + self.world.tiers[tier].nodes)
+            .map(|n| (self.listing(n, self.listed_state(n)), None));
         HostList { seq: 1, whole: true, hosts: hosts.collect() }
     }
 
-    fn state(&self, node: usize) -> ListedState {
-        let p = &self.places[node];
-        match (p.stopped, p.draining) {
+    fn listed_state(&self, node: usize) -> ListedState {
+        let node_state = &self.nodes[node];
+        match (node_state.stopped, node_state.draining) {
             (true, _) => ListedState::Removed,
             (_, true) => ListedState::Draining,
             _ => ListedState::Ready,
@@ -536,64 +580,65 @@
     }
 
     fn listing(&self, node: usize, state: ListedState) -> Listing {
-        let p = &self.places[node];
+        let node_state = &self.nodes[node];
         Listing {
             name: format!("n{node}"),
-            zone: Some(self.world.zones[p.zone].clone()),
+            zone: Some(self.world.zones[node_state.zone].clone()),
             kind: None,
-            cell: p.cell as i64,
+            cell: node_state.cell as i64,
             state,
             units: 1.0,
-            started_at: p.since,
+            started_at: node_state.started_at,
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn run(&mut self) {
-        // After the last client has come, what is open gets the time to end.
+        // After the arrivals end, the open requests have time to finish.
         let longest = self.world.classes.iter().map(|c| c.deadline.0).max().unwrap_or_default();
-        let end = self.end + longest + longest + Micros(1_000_000);
-        while let Some(event) = self.events.next(end) {
+        let end = self.arrivals_end + longest + longest + Micros(1_000_000);
+        while let Some(event) = self.events.next_before(end) {
             self.handle(event);
         }
-        self.rules.finish(self.events.now().max(end));
+        self.checker.finish(self.events.now().max(end));
     }
 
     fn handle(&mut self, event: Event) {
         let now = self.events.now();
         match event {
-            Event::Client => self.client(now),
-            Event::Reach(call) => self.reach(now, call),
-            Event::Consult(b) => self.consult(now, b),
-            Event::Arrive(a) => self.arrive(now, a),
-            Event::Done(node, number) => {
-                if self.places[node].number == number {
-                    self.work_off(now, node);
+            Event::ClientArrives => self.client_arrives(now),
+            Event::CallReachesBalancer(call) => self.call_reaches_balancer(now, call),
+            Event::ConsultPolicy(b) => self.consult_policy(now, b),
+            Event::AttemptReachesNode(a) => self.attempt_reaches_node(now, a),
+            Event::NodeProgress(node, number) => {
+                if self.nodes[node].event_number == number {
+                    self.handle_finished_requests(now, node);
                 }
             }
-            Event::Back(a, code) => self.back(now, a, code),
-            Event::Expire(a, code) => self.expire(now, a, code),
-            Event::CallOff(node, a) => self.call_off(now, node, a),
-            Event::Answer(call, last) => self.answer(now, call, last),
-            Event::GiveUp(call) => self.give_up(now, call),
-            Event::Gone(call) => self.gone(now, call),
-            Event::Again(client) => self.try_client(now, client),
-            Event::Told(b, node, state, since) => self.tell(now, b, node, state, since),
-            Event::Watched(b) => self.watched(now, b),
-            Event::Fault(i, begins) => self.fault(now, i, begins),
-            Event::Stop(node) => self.stop(now, node),
-            Event::Warm(node) => self.warm(now, node),
-            Event::Pause(node, begins) => self.pause(now, node, begins),
-            Event::Datagram(member, data) => self.datagram(now, member, data),
-            Event::Link(member) => self.link(now, member),
+            Event::AttemptEndReachesBalancer(a, code) => self.attempt_end_arrives(now, a, code),
+            Event::AttemptExpires(a, code) => self.expire_attempt(now, a, code),
+            Event::CancelReachesNode(node, a) => self.cancel_at_node(now, node, a),
+            Event::AnswerReachesCaller(call, answer) => self.deliver_answer(now, call, answer),
+            Event::CallerGivesUp(call) => self.caller_gives_up(now, call),
+            Event::CallerLeaves(call) => self.caller_leaves(now, call),
+            Event::ClientRetries(client) => self.start_try(now, client),
+            Event::ListUpdate(b, node, state, since) => self.deliver_list_update(now, b, node, state, since),
+            Event::WatchAnswered(b) => self.deliver_whole_list(now, b),
+            Event::FaultChanges(i, begins) => self.change_fault(now, i, begins),
+            Event::StopNode(node) => self.stop_node(now, node),
+            Event::WarmNode(node) => self.warm_node(now, node),
+            Event::PauseChanges(node, begins) => self.change_pause(now, node, begins),
+            Event::DatagramArrives(member, data) => self.deliver_datagram(now, member, data),
+            Event::LinkTimer(member) => self.wake_fleet_member(now, member),
         }
     }
 }
 
+/// The outcome of a client's request.
 #[derive(Clone, Copy, PartialEq)]
 enum Outcome {
     Served,
--- a/crates/emulator/src/day/nodes.rs
+++ b/crates/emulator/src/day/nodes.rs
@@ -1,344 +1,372 @@
-//! Nodes, and the list that tells of them.
+//! Nodes, and the list that announces their states to balancers.
 
-use super::clients::around;
+use super::clients::round_randomly;
 use super::*;
 
 impl Day<'_> {
-    pub(super) fn arrive(&mut self, now: Micros, id: u64) {
-        let Some(a) = self.attempts.get_mut(&id) else { return };
-        if a.ended {
-            // Called off on its way.
+    pub(super) fn attempt_reaches_node(&mut self, now: Micros, id: u64) {
+        let Some(attempt_state) = self.attempts.get_mut(&id) else { return };
+        if attempt_state.ended {
+            // The attempt was cancelled on its way to the node.
             self.attempts.remove(&id);
             return;
         }
-        let (node, balancer, call_id, fresh, segment) = (a.node, a.balancer, a.call, a.fresh, a.segment);
-        let tier = self.places[node].tier;
-        let t = &self.world.tiers[tier];
-        if self.places[node].vanished {
-            return; // silence
+        let (node, balancer, call_id, new_connection, segment_work) = (
+            attempt_state.node,
+            attempt_state.balancer,
+            attempt_state.call,
+            attempt_state.new_connection,
+            attempt_state.segment_work,
+        );
+        let tier = self.nodes[node].tier;
+        let tier_config = &self.world.tiers[tier];
+        if self.nodes[node].vanished {
+            return; // The node has disappeared and sends nothing back.
         }
-        let Some(way) = self.way(balancer, node) else { return };
-        if self.places[node].stopped || (fresh && self.places[node].connections >= t.connections) {
-            let code = if fresh { Code::ConnectFailed } else { Code::Reset };
-            return self.events.after(way, Event::Back(id, code));
+        let Some(delay) = self.draw_one_way_delay(balancer, node) else { return };
+        if self.nodes[node].stopped
+            || (new_connection && self.nodes[node].connections >= tier_config.connections)
+        {
+            let code = if new_connection { Code::ConnectFailed } else { Code::Reset };
+            return self.events.schedule_after(delay, Event::AttemptEndReachesBalancer(id, code));
         }
-        let held = self.places[node].node.held();
-        if let Some(a) = self.attempts.get_mut(&id) {
-            (a.arrived, a.came, a.came_at) = (true, now, held);
+        let load_on_arrival = self.nodes[node].processor.in_flight();
+        if let Some(attempt_state) = self.attempts.get_mut(&id) {
+            (attempt_state.arrived, attempt_state.arrived_at, attempt_state.load_on_arrival) =
+                (true, now, load_on_arrival);
         }
-        let p = &mut self.places[node];
-        p.connections += usize::from(fresh);
-        if p.draining {
+        let node_state = &mut self.nodes[node];
+        node_state.connections += usize::from(new_connection);
+        if node_state.draining {
             return self.finish_attempt(now, id, Code::Full);
         }
         let Some(call) = self.calls.get(&call_id) else { return };
         let (key, keyed) = (call.key, self.world.classes[call.class].repeat == Repeat::Keyed);
         let window = self.world.classes[call.class].window.0;
-        let work = segment + if fresh { t.handshake.0 .0 as f64 } else { 0.0 };
-        let (all, cell) = (call.work, self.places[node].cell);
-        if self.rules.work_sent(now, node, all, self.places[node].node.capacity()) {
-            return self.fall_over(now, node);
+        let work = segment_work + if new_connection { tier_config.handshake.0 .0 as f64 } else { 0.0 };
+        let (all, cell) = (call.work, self.nodes[node].cell);
+        if self.checker.work_sent(now, node, all, self.nodes[node].processor.capacity()) {
+            return self.crash_node(now, node);
         }
-        if self.draws.errors.chance(self.places[node].fast_errors) {
+        if self.random.errors.chance(self.nodes[node].fast_error_share) {
             return self.finish_attempt(now, id, Code::Error);
         }
         if keyed {
-            let seen = self.keys.get(&(tier, cell, key)).is_some_and(|at| now - *at < window);
+            let seen = self.seen_keys.get(&(tier, cell, key)).is_some_and(|at| now - *at < window);
             if seen {
-                // Its cell has it: the repeat is dropped, and answered for what the first one did.
+                // The cell has seen the key: the repeat is dropped, and answered as the first request was.
                 return self.finish_attempt(now, id, Code::Ok);
             }
         }
-        match self.places[node].node.bring(now, id, work) {
-            Brought::Full => self.finish_attempt(now, id, Code::Full),
+        match self.nodes[node].processor.submit(now, id, work) {
+            Admission::Full => self.finish_attempt(now, id, Code::Full),
             _ => {
                 if keyed {
-                    self.keys.insert((tier, cell, key), now);
-                    if self.keys.len() > 1 << 20 {
+                    self.seen_keys.insert((tier, cell, key), now);
+                    if self.seen_keys.len() > 1 << 20 {
                         let longest = self.world.classes.iter().map(|c| c.window.0).max().unwrap_or_default();
-                        self.keys.retain(|_, at| now - *at < longest);
+                        self.seen_keys.retain(|_, at| now - *at < longest);
                     }
                 }
-                self.look_after(now, node);
+                self.reschedule_node(now, node);
             }
         }
     }
 
-    /// Sends a node's answer.
+    /// Ends an attempt at its node and sends the answer.
     pub(super) fn finish_attempt(&mut self, now: Micros, id: u64, code: Code) {
-        let Some(a) = self.attempts.get_mut(&id) else { return };
-        a.done = true;
-        let (node, balancer, took, came_at) = (a.node, a.balancer, now - a.came, a.came_at);
-        if a.ended {
+        let Some(attempt_state) = self.attempts.get_mut(&id) else { return };
+        attempt_state.finished = true;
+        let (node, balancer, took, load_on_arrival) = (
+            attempt_state.node,
+            attempt_state.balancer,
+            now - attempt_state.arrived_at,
+            attempt_state.load_on_arrival,
+        );
+        if attempt_state.ended {
             self.attempts.remove(&id);
             return;
         }
         if code == Code::Ok {
-            let at = node - self.first[self.places[node].tier];
-            let mut truths = self.truths[self.places[node].tier].borrow_mut();
-            truths[at].served(came_at, took.0 as f64);
+            let at = node - self.first_node[self.nodes[node].tier];
+            let mut true_states = self.true_states[self.nodes[node].tier].borrow_mut();
+            true_states[at].record_time(load_on_arrival, took.0 as f64);
         }
-        if let Some(way) = self.way(balancer, node) {
-            self.events.at(now + way, Event::Back(id, code));
+        if let Some(delay) = self.draw_one_way_delay(balancer, node) {
+            self.events.schedule_at(now + delay, Event::AttemptEndReachesBalancer(id, code));
         }
     }
 
-    /// Ends what is done at a node, and asks for the next event there.
-    pub(super) fn work_off(&mut self, now: Micros, node: usize) {
-        while let Some(id) = self.places[node].node.pop(now) {
-            let Some(a) = self.attempts.get_mut(&id) else { continue };
-            if a.segments_left > 0 && !a.ended {
-                a.segments_left -= 1;
-                self.places[node].node.go_away();
-                self.call_below(now, id);
+    /// Handles the requests that are finished at a node, and schedules the node's next event.
+    pub(super) fn handle_finished_requests(&mut self, now: Micros, node: usize) {
+        while let Some(id) = self.nodes[node].processor.pop_finished(now) {
+            let Some(attempt_state) = self.attempts.get_mut(&id) else { continue };
+            if attempt_state.segments_left > 0 && !attempt_state.ended {
+                attempt_state.segments_left -= 1;
+                self.nodes[node].processor.wait_for_next_tier();
+                self.call_next_tier(now, id);
                 continue;
             }
-            let p = &self.places[node];
-            let (errors, spoilt) = (self.world.tiers[p.tier].errors, p.spoilt);
-            let bad = self.draws.errors.chance(errors) || self.draws.errors.chance(spoilt);
-            self.finish_attempt(now, id, if bad { Code::Error } else { Code::Ok });
+            let node_state = &self.nodes[node];
+            let (errors, spoilt) = (self.world.tiers[node_state.tier].errors, node_state.spoilt_share);
+            let fails = self.random.errors.chance(errors) || self.random.errors.chance(spoilt);
+            self.finish_attempt(now, id, if fails { Code::Error } else { Code::Ok });
         }
-        self.look_after(now, node);
+        self.reschedule_node(now, node);
     }
 
-    pub(super) fn look_after(&mut self, now: Micros, node: usize) {
-        let p = &mut self.places[node];
-        p.number += 1;
-        let number = p.number;
-        let mut truths = self.truths[p.tier].borrow_mut();
-        let truth = &mut truths[node - self.first[p.tier]];
-        (truth.held, truth.capacity) =
-            (p.node.held(), if p.vanished || p.stopped { 0.0 } else { p.node.capacity() });
-        if let Some(at) = p.node.next() {
-            self.events.at(at.max(now), Event::Done(node, number));
+    pub(super) fn reschedule_node(&mut self, now: Micros, node: usize) {
+        let node_state = &mut self.nodes[node];
+        node_state.event_number += 1;
+        let number = node_state.event_number;
+        let mut true_states = self.true_states[node_state.tier].borrow_mut();
+        let true_state = &mut true_states[node - self.first_node[node_state.tier]];
+        (true_state.in_flight, true_state.capacity) = (
+            node_state.processor.in_flight(),
+            if node_state.vanished || node_state.stopped { 0.0 } else { node_state.processor.capacity() },
+        );
+        if let Some(at) = node_state.processor.next_event() {
+            self.events.schedule_at(at.max(now), Event::NodeProgress(node, number));
         }
     }
 
-    /// A request that a node holds calls the next tier.
-    pub(super) fn call_below(&mut self, now: Micros, attempt: u64) {
-        let Some(a) = self.attempts.get(&attempt) else { return };
-        let (node, parent) = (a.node, a.call);
-        let Some(up) = self.calls.get(&parent) else {
-            return self.called(now, attempt, false);
+    /// Makes the call to the next tier for a request in process at a node.
+    pub(super) fn call_next_tier(&mut self, now: Micros, attempt: u64) {
+        let Some(attempt_state) = self.attempts.get(&attempt) else { return };
+        let (node, parent) = (attempt_state.node, attempt_state.call);
+        let Some(parent_call) = self.calls.get(&parent) else {
+            return self.next_tier_call_ended(now, attempt, false);
         };
-        let (class, tenant, expires) = (up.class, up.tenant, up.expires);
-        let tier = self.places[node].tier + 1;
-        let facts = &self.world.classes[class];
-        let work = facts.shape.draw(self.world.work(class, tier), &mut self.draws.below);
-        let calls =
-            if tier + 1 < self.world.tiers.len() { around(facts.calls, &mut self.draws.below) } else { 0 };
-        let key = self.draws.below.bits();
+        let (class, tenant, expires) = (parent_call.class, parent_call.tenant, parent_call.expires);
+        let tier = self.nodes[node].tier + 1;
+        let class_config = &self.world.classes[class];
+        let work = class_config.shape.draw(self.world.mean_work(class, tier), &mut self.random.later_tiers);
+        let calls = if tier + 1 < self.world.tiers.len() {
+            round_randomly(class_config.calls, &mut self.random.later_tiers)
+        } else {
+            0
+        };
+        let key = self.random.later_tiers.bits();
         let call = Call {
             tier,
-            balancer: self.below[node],
+            balancer: self.next_tier_balancer[node],
             class,
             tenant,
-            asker: Asker::Job(attempt),
+            caller: Caller::NodeRequest(attempt),
             expires,
             repeat: false,
             key,
             work,
             calls,
             attempts: Vec::new(),
-            out: 0,
+            in_flight: 0,
             answered: false,
-            left: false,
-            taken: false,
+            caller_left: false,
+            accepted: false,
         };
-        let next = self.next + 1;
-        if let Some(a) = self.attempts.get_mut(&attempt) {
-            a.waits = Some(next);
+        let call_id = self.last_id + 1;
+        if let Some(attempt_state) = self.attempts.get_mut(&attempt) {
+            attempt_state.awaited_call = Some(call_id);
         }
-        self.place_call(now, call);
+        self.start_call(now, call);
     }
 
-    /// The next tier has answered a node's request, or has not in time.
-    pub(super) fn called(&mut self, now: Micros, attempt: u64, served: bool) {
-        let Some(a) = self.attempts.get_mut(&attempt) else { return };
-        a.waits = None;
-        let (node, segment, ended) = (a.node, a.segment, a.ended);
+    /// Handles the end of a call to the next tier: its answer, or the lack of one in time.
+    pub(super) fn next_tier_call_ended(&mut self, now: Micros, attempt: u64, served: bool) {
+        let Some(attempt_state) = self.attempts.get_mut(&attempt) else { return };
+        attempt_state.awaited_call = None;
+        let (node, segment_work, ended) =
+            (attempt_state.node, attempt_state.segment_work, attempt_state.ended);
         if served && !ended {
-            self.places[node].node.come_back(now, attempt, segment);
+            self.nodes[node].processor.resume(now, attempt, segment_work);
         } else {
-            self.places[node].node.end_away(now);
+            self.nodes[node].processor.end_wait_for_next_tier(now);
             self.finish_attempt(now, attempt, Code::Error);
         }
-        self.look_after(now, node);
+        self.reschedule_node(now, node);
     }
 
-    pub(super) fn call_off(&mut self, now: Micros, node: usize, id: u64) {
-        let stops = self.places[node].node.build().cancel_stops;
-        let waits = self.attempts.get(&id).and_then(|a| a.waits);
-        if self.places[node].node.cancel(now, id) {
+    pub(super) fn cancel_at_node(&mut self, now: Micros, node: usize, id: u64) {
+        let stops = self.nodes[node].processor.config().cancel_stops;
+        let awaited_call = self.attempts.get(&id).and_then(|a| a.awaited_call);
+        if self.nodes[node].processor.cancel(now, id) {
             self.attempts.remove(&id);
-        } else if let Some(call) = waits.filter(|_| stops) {
-            // It waits for another tier, whose call ends with it.
+        } else if let Some(call) = awaited_call.filter(|_| stops) {
+            // The request waits for the next tier, and the call there ends with it.
             self.attempts.remove(&id);
-            self.places[node].node.end_away(now);
+            self.nodes[node].processor.end_wait_for_next_tier(now);
             if let Some(c) = self.calls.get_mut(&call) {
-                c.left = true;
-                let taken = c.taken;
-                self.rules.left(call);
-                if taken {
-                    self.events.after(Micros(20), Event::Gone(call));
+                c.caller_left = true;
+                let accepted = c.accepted;
+                self.checker.client_left(call);
+                if accepted {
+                    self.events.schedule_after(Micros(20), Event::CallerLeaves(call));
                 }
-                self.forget(call);
+                self.remove_ended_call(call);
             }
         }
-        self.look_after(now, node);
+        self.reschedule_node(now, node);
     }
 
-    pub(super) fn set_speed(&mut self, now: Micros, node: usize) {
-        let p = &mut self.places[node];
-        let t = &self.world.tiers[p.tier];
-        let warmth = p.cold_from.map_or(1.0, |from| {
-            let age = (now - from).0 as f64 / t.warm_after.0 .0.max(1) as f64;
-            t.cold_share + (1.0 - t.cold_share) * age.clamp(0.0, 1.0)
+    pub(super) fn update_speed(&mut self, now: Micros, node: usize) {
+        let node_state = &mut self.nodes[node];
+        let tier_config = &self.world.tiers[node_state.tier];
+        let warmth = node_state.cold_since.map_or(1.0, |from| {
+            let age = (now - from).0 as f64 / tier_config.warm_after.0 .0.max(1) as f64;
+            tier_config.cold_share + (1.0 - tier_config.cold_share) * age.clamp(0.0, 1.0)
         });
-        let still = p.hung || p.vanished || p.stopped || p.paused;
-        p.node.set_factor(now, if still { 0.0 } else { warmth / p.slow });
-        self.look_after(now, node);
+        let halted = node_state.hung || node_state.vanished || node_state.stopped || node_state.paused;
+        node_state.processor.set_speed_factor(now, if halted { 0.0 } else { warmth / node_state.slowdown });
+        self.reschedule_node(now, node);
     }
 
-    pub(super) fn warm(&mut self, now: Micros, node: usize) {
-        let p = &mut self.places[node];
-        let Some(from) = p.cold_from else { return };
-        let ramp = self.world.tiers[p.tier].warm_after.0;
+    pub(super) fn warm_node(&mut self, now: Micros, node: usize) {
+        let node_state = &mut self.nodes[node];
+        let Some(from) = node_state.cold_since else { return };
+        let ramp = self.world.tiers[node_state.tier].warm_after.0;
         if now - from >= ramp {
-            p.cold_from = None;
-            self.rules.warm(node);
+            node_state.cold_since = None;
+            self.checker.node_warmed_up(node);
         } else {
-            self.events.after(Micros((ramp.0 / STEPS_TO_WARM).max(1)), Event::Warm(node));
+            self.events.schedule_after(Micros((ramp.0 / WARM_UP_STEPS).max(1)), Event::WarmNode(node));
         }
-        self.set_speed(now, node);
+        self.update_speed(now, node);
     }
 
-    pub(super) fn pause(&mut self, now: Micros, node: usize, begins: bool) {
-        let Some(p) = self.world.tiers[self.places[node].tier].pauses.clone() else { return };
-        self.places[node].paused = begins;
-        self.set_speed(now, node);
-        if now < self.end {
-            let s = &mut self.draws.pauses;
-            let wait =
-                if begins { p.last.draw(s) } else { Micros(s.exponential(p.every.0 .0 as f64) as i64) };
-            self.events.after(wait, Event::Pause(node, !begins));
+    pub(super) fn change_pause(&mut self, now: Micros, node: usize, begins: bool) {
+        let Some(pauses) = self.world.tiers[self.nodes[node].tier].pauses.clone() else { return };
+        self.nodes[node].paused = begins;
+        self.update_speed(now, node);
+        if now < self.arrivals_end {
+            let stream = &mut self.random.pauses;
+            let wait = if begins {
+                pauses.last.draw(stream)
+            } else {
+                Micros(stream.exponential(pauses.every.0 .0 as f64) as i64)
+            };
+            self.events.schedule_after(wait, Event::PauseChanges(node, !begins));
         } else if begins {
-            self.events.after(p.last.high.0, Event::Pause(node, false));
+            self.events.schedule_after(pauses.last.high.0, Event::PauseChanges(node, false));
         }
     }
 
-    /// Ends everything that a node holds: its connections are reset.
-    pub(super) fn drop_all(&mut self, now: Micros, node: usize) {
-        self.places[node].node.clear(now);
-        let mut held: Vec<u64> = self
+    /// Ends all requests at a node and resets its connections.
+    pub(super) fn reset_node(&mut self, now: Micros, node: usize) {
+        self.nodes[node].processor.remove_all(now);
+        let mut on_node: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.node == node && a.arrived && !a.done)
+            .filter(|(_, attempt_state)| {
+                attempt_state.node == node && attempt_state.arrived && !attempt_state.finished
+            })
             .map(|(&id, _)| id)
             .collect();
-        held.sort_unstable();
-        for id in held {
-            let Some(a) = self.attempts.get(&id) else { continue };
-            let (balancer, ended, waits) = (a.balancer, a.ended, a.waits);
-            if let Some(call) = waits.and_then(|c| self.calls.get_mut(&c)) {
-                call.left = true;
+        on_node.sort_unstable();
+        for id in on_node {
+            let Some(attempt_state) = self.attempts.get(&id) else { continue };
+            let (balancer, ended, awaited_call) =
+                (attempt_state.balancer, attempt_state.ended, attempt_state.awaited_call);
+            if let Some(call) = awaited_call.and_then(|c| self.calls.get_mut(&c)) {
+                call.caller_left = true;
             }
-            if let Some(call) = waits {
-                self.rules.left(call);
-                self.events.after(Micros(20), Event::Gone(call));
-                self.forget(call);
+            if let Some(call) = awaited_call {
+                self.checker.client_left(call);
+                self.events.schedule_after(Micros(20), Event::CallerLeaves(call));
+                self.remove_ended_call(call);
             }
             if ended {
                 self.attempts.remove(&id);
             } else {
-                if let Some(a) = self.attempts.get_mut(&id) {
-                    (a.done, a.waits) = (true, None);
+                if let Some(attempt_state) = self.attempts.get_mut(&id) {
+                    (attempt_state.finished, attempt_state.awaited_call) = (true, None);
                 }
-                if let Some(way) = self.way(balancer, node) {
-                    self.events.after(way, Event::Back(id, Code::Reset));
+                if let Some(delay) = self.draw_one_way_delay(balancer, node) {
+                    self.events.schedule_after(delay, Event::AttemptEndReachesBalancer(id, Code::Reset));
                 }
             }
         }
-        self.places[node].connections = 0;
+        self.nodes[node].connections = 0;
         for b in &mut self.balancers {
-            if b.tier == self.places[node].tier {
+            if b.tier == self.nodes[node].tier {
                 b.idle.remove(&node);
             }
         }
-        self.look_after(now, node);
+        self.reschedule_node(now, node);
     }
 
     pub(super) fn start_node(&mut self, now: Micros, node: usize) {
-        let p = &mut self.places[node];
-        let t = &self.world.tiers[p.tier];
-        (p.stopped, p.vanished, p.draining) = (false, false, false);
-        (p.since, p.cold_from) = (Some(now), Some(now));
-        self.rules.started(node, t.tip_factor, t.tip_window.0);
-        self.warm(now, node);
-        self.announce(now, node, ListedState::Ready);
+        let node_state = &mut self.nodes[node];
+        let tier_config = &self.world.tiers[node_state.tier];
+        (node_state.stopped, node_state.vanished, node_state.draining) = (false, false, false);
+        (node_state.started_at, node_state.cold_since) = (Some(now), Some(now));
+        self.checker.node_started(node, tier_config.tip_factor, tier_config.tip_window.0);
+        self.warm_node(now, node);
+        self.announce_node(now, node, ListedState::Ready);
     }
 
-    /// It falls over, and stays down.
-    pub(super) fn fall_over(&mut self, now: Micros, node: usize) {
-        self.places[node].stopped = true;
-        self.drop_all(now, node);
-        self.set_speed(now, node);
-        self.announce(now, node, ListedState::Removed);
+    /// Crashes a node, which then stays stopped.
+    pub(super) fn crash_node(&mut self, now: Micros, node: usize) {
+        self.nodes[node].stopped = true;
+        self.reset_node(now, node);
+        self.update_speed(now, node);
+        self.announce_node(now, node, ListedState::Removed);
     }
 
-    pub(super) fn stop(&mut self, now: Micros, node: usize) {
-        if self.places[node].draining {
-            self.places[node].stopped = true;
-            self.drop_all(now, node);
-            self.set_speed(now, node);
-            self.announce(now, node, ListedState::Removed);
+    pub(super) fn stop_node(&mut self, now: Micros, node: usize) {
+        if self.nodes[node].draining {
+            self.nodes[node].stopped = true;
+            self.reset_node(now, node);
+            self.update_speed(now, node);
+            self.announce_node(now, node, ListedState::Removed);
         }
     }
 
-    /// Has all balancers of a tier told of a node, each in its time.
-    pub(super) fn announce(&mut self, now: Micros, node: usize, state: ListedState) {
-        let (tier, since) = (self.places[node].tier, self.places[node].since);
+    /// Notifies all balancers of a tier of a node's state, each after its own delay.
+    pub(super) fn announce_node(&mut self, now: Micros, node: usize, state: ListedState) {
+        let (tier, since) = (self.nodes[node].tier, self.nodes[node].started_at);
         let delay = self.world.tiers[tier].list.delay;
-        for b in 0..self.balancers.len() {
-            if self.balancers[b].tier == tier {
-                let wait = delay.draw(&mut self.draws.list);
-                self.events.at(now + wait, Event::Told(b, node, state, since));
+        for balancer in 0..self.balancers.len() {
+            if self.balancers[balancer].tier == tier {
+                let wait = delay.draw(&mut self.random.list);
+                self.events.schedule_at(now + wait, Event::ListUpdate(balancer, node, state, since));
             }
         }
     }
 
-    pub(super) fn tell(
+    pub(super) fn deliver_list_update(
         &mut self,
         now: Micros,
-        b: usize,
+        balancer: usize,
         node: usize,
         state: ListedState,
         since: Option<Micros>,
     ) {
-        if let Some(held) = self.held_back(b, || Event::Told(b, node, state, since)) {
-            return held;
+        if let Some(deferred) =
+            self.defer_if_not_running(balancer, || Event::ListUpdate(balancer, node, state, since))
+        {
+            return deferred;
         }
-        if self.stale {
-            return self.held_news.push((b, node, state, since));
+        if self.list_is_stale {
+            return self.withheld_updates.push((balancer, node, state, since));
         }
-        self.rules.told(now, b, node, state == ListedState::Ready);
+        self.checker.node_state_notified(now, balancer, node, state == ListedState::Ready);
         let listing = Listing { started_at: since, ..self.listing(node, state) };
         let list = HostList { seq: 2, whole: false, hosts: vec![(listing, None)] };
-        self.post(now, b, Inbox::News(News::List(list)));
+        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::List(list)));
     }
 
-    pub(super) fn watched(&mut self, now: Micros, b: usize) {
-        if let Some(held) = self.held_back(b, || Event::Watched(b)) {
-            return held;
+    pub(super) fn deliver_whole_list(&mut self, now: Micros, balancer: usize) {
+        if let Some(deferred) = self.defer_if_not_running(balancer, || Event::WatchAnswered(balancer)) {
+            return deferred;
         }
-        let tier = self.balancers[b].tier;
+        let tier = self.balancers[balancer].tier;
         let list = self.whole_list(tier);
-        for node in self.first[tier]..self.first[tier] + self.world.tiers[tier].nodes {
-            let state = self.state(node);
+        for node in self.first_node[tier]..self.first_node[tier] + self.world.tiers[tier].nodes {
+            let state = self.listed_state(node);
             if state != ListedState::Ready {
-                self.rules.told(now, b, node, false);
+                self.checker.node_state_notified(now, balancer, node, false);
             }
         }
-        self.post(now, b, Inbox::News(News::List(list)));
+        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::List(list)));
     }
 }
--- a/crates/emulator/src/events.rs
+++ b/crates/emulator/src/events.rs
@@ -1,4 +1,4 @@
-//! The order of things in virtual time.
+//! A queue of events in virtual time.
 
 use garnettally_model::Micros;
 use std::cmp::Ordering;
@@ -11,55 +11,57 @@
 }
 
 impl<E> PartialEq for Entry<E> {
-    fn eq(&self, o: &Self) -> bool {
-        self.number == o.number
+    fn eq(&self, other: &Self) -> bool {
+        self.number == other.number
     }
 }
 impl<E> Eq for Entry<E> {}
 impl<E> PartialOrd for Entry<E> {
-    fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
-        Some(self.cmp(o))
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
 impl<E> Ord for Entry<E> {
-    /// The earliest is the greatest; at one instant, the one that was asked for first.
-    fn cmp(&self, o: &Self) -> Ordering {
-        (o.at, o.number).cmp(&(self.at, self.number))
+    /// The heap pops its greatest entry: the earliest one, and at one instant the one that was scheduled
+    /// first.
+    fn cmp(&self, other: &Self) -> Ordering {
+        (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// Events that are yet to come. At one instant they come in the order in which they were asked for.
+/// Scheduled events. Events at the same instant occur in the order in which they were scheduled.
 pub struct Events<E> {
     heap: BinaryHeap<Entry<E>>,
     now: Micros,
-    number: u64,
+    /// The number of events scheduled so far.
+    scheduled: u64,
 }
 
 impl<E> Default for Events<E> {
     fn default() -> Self {
-        Events { heap: BinaryHeap::new(), now: Micros(0), number: 0 }
+        Events { heap: BinaryHeap::new(), now: Micros(0), scheduled: 0 }
     }
 }
 
 impl<E> Events<E> {
-    /// The time of the last event that came.
+    /// The current virtual time: that of the event that was taken last.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Asks for an event; what lies in the past comes now.
-    pub fn at(&mut self, at: Micros, event: E) {
-        self.number += 1;
-        self.heap.push(Entry { at: at.max(self.now), number: self.number, event });
+    /// Schedules an event; a time in the past is replaced by the current time.
+    pub fn schedule_at(&mut self, at: Micros, event: E) {
+        self.scheduled += 1;
+        self.heap.push(Entry { at: at.max(self.now), number: self.scheduled, event });
     }
 
-    /// Asks for an event after this long.
-    pub fn after(&mut self, wait: Micros, event: E) {
-        self.at(self.now + wait, event);
+    /// Schedules an event after a delay.
+    pub fn schedule_after(&mut self, wait: Micros, event: E) {
+        self.schedule_at(self.now + wait, event);
     }
 
-    /// The next event, if one comes before `end`.
-    pub fn next(&mut self, end: Micros) -> Option<E> {
+    /// Takes the next event and advances the time to it, if it is due before `end`.
+    pub fn next_before(&mut self, end: Micros) -> Option<E> {
         if self.heap.peek()?.at >= end {
             return None;
         }
@@ -68,14 +70,14 @@
         Some(entry.event)
     }
 
-    /// How many are yet to come.
-    pub fn waiting(&self) -> usize {
+    /// The number of events that have not occurred yet.
+    pub fn pending(&self) -> usize {
         self.heap.len()
     }
 
-    /// How many were asked for.
-    pub fn asked(&self) -> u64 {
-        self.number
+    /// The number of events scheduled so far, including those that have occurred.
+    pub fn scheduled(&self) -> u64 {
+        self.scheduled
     }
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,18 +1,21 @@
-//! An emulator of the systems that garnettally serves: tiers of nodes, clients, a node list, load reports and faults,
-//! in virtual time. It hosts a balancer for every place that has one, through the same facade as the real program.
+//! An emulator of the systems that garnettally serves: tiers of nodes, clients, a node list, load reports and
+//! faults, in virtual time. It runs each balancer of the world through the same facade as the real program.
 //!
-//! - [`world`]: the description, in TOML, with its defaults.
-//! - [`events`]: the order of things; ties go by the order in which they were asked for.
-//! - [`draw`]: random numbers, each purpose with a stream of its own, all from one seed.
-//! - [`node`]: a node as a queue and processors that are shared.
-//! - [`registry`]: a registry that many processes share, as a queue of calls.
-//! - [`policy`]: what decides, the real module or a reference to compare it with.
-//! - [`references`]: those references. They are for the lab alone; the serving path can't reach them.
-//! - [`rules`]: the four rules, checked from what happened in the world and not from what a balancer believes.
+//! - [`world`]: the description of a world, in TOML, with its defaults.
+//! - [`events`]: the event queue; events at one instant occur in the order in which they were scheduled.
+//! - [`draw`]: random numbers; each purpose has its own stream, and all streams derive from one seed.
+//! - [`node`]: a node, modelled as a queue in front of shared processors.
+//! - [`registry`]: a registry that many processes share, modelled as a queue of calls.
+//! - [`policy`]: the policy of a balancer, which is the real decision module or a reference to compare it
+//!   with.
+//! - [`references`]: the reference policies. They are for experiments only; the serving path does not depend
+//!   on them.
+//! - [`rules`]: the four rules, checked against the events of the world and not against a balancer's own
+//!   state.
 //! - [`day`]: one run of a world.
-//! - [`report`]: what came of it.
+//! - [`report`]: the results of a run.
 //!
-//! One seed gives one course of events, on every machine and however many runs go on beside it.
+//! One seed gives the same sequence of events on every machine, however many runs execute in parallel.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,180 +1,183 @@
-//! A node: some cores that its requests share, slots for those that it holds, and a queue before them.
+//! A node: cores that its running requests share, slots for the requests in process, and a queue for those
+//! that wait for a slot.
 //!
-//! Running requests share the cores equally (processor sharing), each with one core at the most. The node keeps one
-//! virtual clock of the work that every running request has had; a request is done when that clock reaches its mark, so
-//! arrivals, departures and changes of speed cost logarithmic time. It knows nothing of networks or balancers.
+//! Running requests share the cores equally (processor sharing), each with one core at the most. The node has
+//! one virtual clock, which counts the work that every running request has received. A request is finished
+//! when that clock reaches the request's completion point, so arrivals, departures and changes of speed cost
+//! logarithmic time. The model contains neither networks nor balancers.
 
 use garnettally_model::Micros;
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, VecDeque};
 
-/// The number of a request at a node, of the caller's choosing.
+/// The number of a request at a node, chosen by the caller.
 pub type JobId = u64;
 
-/// What a node is.
+/// The fixed properties of a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Build {
-    /// Its cores.
+pub struct NodeConfig {
+    /// The number of cores; may be fractional.
     pub cores: f64,
-    /// Work that a core does in a unit of time.
+    /// The work that a core does in a unit of time.
     pub speed: f64,
-    /// Requests that it holds at a time, running or waiting for others.
+    /// The requests in process at a time, running or waiting for the next tier.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// The requests that may wait for a slot.
     pub queue: usize,
-    /// What it does with a request that was called off: stop, or work on.
+    /// Whether a cancelled request is stopped; otherwise it runs to its end.
     pub cancel_stops: bool,
-    /// When it turns slow under a crowd.
+    /// The conditions under which the node becomes slow under overload; `None`: it never does.
     pub thrash: Option<Thrash>,
 }
 
-/// Some nodes turn slow when far more requests run than they have cores, and stay so for a while.
+/// Thrashing: a node with far more running requests than cores becomes slow, and stays slow for a while.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Thrash {
-    /// Running requests for each core that bring it about.
+    /// The number of running requests for each core above which the node counts as overloaded.
     pub above: f64,
-    /// Once they have been so many for this long.
+    /// How long the node has to be overloaded before it becomes slow.
     pub after: Micros,
-    /// The speed is divided by this.
+    /// The divisor of the speed while the node is slow.
     pub factor: f64,
-    /// It ends once no more run than there are cores for this long.
+    /// The node recovers once it has had no more running requests than cores for this long.
     pub calm: Micros,
 }
 
-/// A mark on the virtual clock; totally ordered, ties by number.
+/// The point of the virtual clock at which a request is finished. The order is total; ties go by number.
 #[derive(Clone, Copy, PartialEq)]
-struct Mark(f64, JobId);
+struct CompletionPoint(f64, JobId);
 
-impl Eq for Mark {}
-impl PartialOrd for Mark {
-    fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
-        Some(self.cmp(o))
+impl Eq for CompletionPoint {}
+impl PartialOrd for CompletionPoint {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
-impl Ord for Mark {
-    fn cmp(&self, o: &Self) -> Ordering {
-        self.0.total_cmp(&o.0).then(self.1.cmp(&o.1))
+impl Ord for CompletionPoint {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
     }
 }
 
-/// What became of a request that was brought.
+/// The outcome of submitting a request to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Brought {
-    /// It runs.
-    Runs,
-    /// It waits for a slot.
-    Waits,
-    /// Slots and queue are full: it was turned away, and never ran.
+pub enum Admission {
+    /// The request runs.
+    Running,
+    /// The request waits in the queue for a slot.
+    Queued,
+    /// The slots and the queue are full: the request was rejected and never ran.
     Full,
 }
 
-/// A node at work.
+/// A node and its requests at a point of virtual time.
 pub struct Node {
-    build: Build,
-    /// Work that each running request has had.
+    config: NodeConfig,
+    /// The virtual clock: the work that a request would have received had it been running from the start.
     clock: f64,
-    at: Micros,
-    running: BTreeSet<Mark>,
-    marks: rustc_hash::FxHashMap<JobId, f64>,
-    /// Requests that hold a slot and wait for another tier.
-    away: usize,
+    now: Micros,
+    running: BTreeSet<CompletionPoint>,
+    completion_points: rustc_hash::FxHashMap<JobId, f64>,
+    /// The number of requests that occupy a slot while they wait for the next tier.
+    waiting_for_next_tier: usize,
     waiting: VecDeque<(JobId, f64)>,
-    /// What its speed is multiplied by: faults, pauses, cold starts.
-    factor: f64,
+    /// The factor of the speed that faults, pauses and cold starts determine.
+    speed_factor: f64,
     thrashing: bool,
-    crowded_since: Option<Micros>,
+    overloaded_since: Option<Micros>,
     calm_since: Option<Micros>,
-    /// Work done in all.
-    done: f64,
+    /// The total work done.
+    work_done: f64,
 }
 
 impl Node {
-    /// A node with nothing to do.
-    pub fn new(build: Build, now: Micros) -> Node {
+    /// Creates a node without requests.
+    pub fn new(config: NodeConfig, now: Micros) -> Node {
         Node {
-            build,
+            config,
             clock: 0.0,
-            at: now,
+            now,
             running: BTreeSet::new(),
-            marks: Default::default(),
-            away: 0,
+            completion_points: Default::default(),
+            waiting_for_next_tier: 0,
             waiting: VecDeque::new(),
-            factor: 1.0,
+            speed_factor: 1.0,
             thrashing: false,
-            crowded_since: None,
+            overloaded_since: None,
             calm_since: None,
-            done: 0.0,
+            work_done: 0.0,
         }
     }
 
-    /// What it is.
-    pub fn build(&self) -> &Build {
-        &self.build
+    /// The fixed properties of the node.
+    pub fn config(&self) -> &NodeConfig {
+        &self.config
     }
 
-    /// Requests that it holds: running, away, and waiting.
-    pub fn held(&self) -> usize {
-        self.running.len() + self.away + self.waiting.len()
+    /// The number of requests at the node: running, waiting for the next tier, and waiting for a slot.
+    pub fn in_flight(&self) -> usize {
+        self.running.len() + self.waiting_for_next_tier + self.waiting.len()
     }
 
-    /// Requests that run.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Work done in all, up to the last call.
+    /// The total work done up to the last call that took a time.
     pub fn work_done(&self) -> f64 {
-        self.done
+        self.work_done
     }
 
-    /// The work it can do in a microsecond as it is now, with all cores busy.
+    /// The work that the node can do in a microsecond at its current speed, with all cores busy.
     pub fn capacity(&self) -> f64 {
-        self.build.cores * self.speed()
+        self.config.cores * self.speed()
     }
 
-    /// Whether a crowd has turned it slow.
+    /// Whether overload has made the node slow.
     pub fn thrashing(&self) -> bool {
         self.thrashing
     }
 
     fn speed(&self) -> f64 {
-        let slowed = self.build.thrash.as_ref().filter(|_| self.thrashing).map_or(1.0, |t| t.factor);
-        self.build.speed * self.factor / slowed
+        let slowed = self.config.thrash.as_ref().filter(|_| self.thrashing).map_or(1.0, |t| t.factor);
+        self.config.speed * self.speed_factor / slowed
     }
 
-    /// Work that each running request gets in a microsecond.
+    /// The work that each running request receives in a microsecond.
     fn rate(&self) -> f64 {
-        let n = self.running.len() as f64;
-        if n == 0.0 {
+        let running = self.running.len() as f64;
+        if running == 0.0 {
             return 0.0;
         }
-        self.speed() * (self.build.cores / n).min(1.0)
+        self.speed() * (self.config.cores / running).min(1.0)
     }
 
-    /// Lets time pass. No request may be done before `now`: [`Node::next`] tells when to come back.
+    /// Advances the node to `now`. No request may be finished before `now`: [`Node::next_event`] returns the
+    /// time up to which the node may be advanced.
     pub fn advance(&mut self, now: Micros) {
-        let passed = (now - self.at).0.max(0) as f64;
+        let passed = (now - self.now).0.max(0) as f64;
         let step = passed * self.rate();
         self.clock += step;
-        self.done += step * self.running.len() as f64;
-        self.at = self.at.max(now);
-        self.feel_crowd();
+        self.work_done += step * self.running.len() as f64;
+        self.now = self.now.max(now);
+        self.update_thrashing();
     }
 
-    fn feel_crowd(&mut self) {
-        let Some(t) = &self.build.thrash else { return };
-        let n = self.running.len() as f64;
-        if n > t.above * self.build.cores {
-            let since = *self.crowded_since.get_or_insert(self.at);
-            if !self.thrashing && self.at - since >= t.after {
+    fn update_thrashing(&mut self) {
+        let Some(t) = &self.config.thrash else { return };
+        let running = self.running.len() as f64;
+        if running > t.above * self.config.cores {
+            let since = *self.overloaded_since.get_or_insert(self.now);
+            if !self.thrashing && self.now - since >= t.after {
                 self.thrashing = true;
             }
         } else {
-            self.crowded_since = None;
+            self.overloaded_since = None;
         }
-        if n <= self.build.cores {
-            let since = *self.calm_since.get_or_insert(self.at);
-            if self.thrashing && self.at - since >= t.calm {
+        if running <= self.config.cores {
+            let since = *self.calm_since.get_or_insert(self.now);
+            if self.thrashing && self.now - since >= t.calm {
                 self.thrashing = false;
             }
         } else {
@@ -182,116 +185,119 @@
         }
     }
 
-    /// When something happens here by itself: a request is done, or the crowd makes itself felt.
-    pub fn next(&self) -> Option<Micros> {
+    /// The time of the node's next change without outside input: a request is finished, or thrashing begins
+    /// or ends.
+    pub fn next_event(&self) -> Option<Micros> {
         let rate = self.rate();
         let done = self.running.first().filter(|_| rate > 0.0).map(|m| {
             let left = (m.0 - self.clock).max(0.0) / rate;
-            self.at + Micros(left.min(1e15).ceil() as i64)
+            self.now + Micros(left.min(1e15).ceil() as i64)
         });
-        let crowd = self.build.thrash.as_ref().and_then(|t| match self.thrashing {
-            false => self.crowded_since.map(|since| since + t.after),
+        let thrashing_change = self.config.thrash.as_ref().and_then(|t| match self.thrashing {
+            false => self.overloaded_since.map(|since| since + t.after),
             true => self.calm_since.map(|since| since + t.calm),
         });
-        done.into_iter().chain(crowd.filter(|&at| at > self.at)).min()
+        done.into_iter().chain(thrashing_change.filter(|&at| at > self.now)).min()
     }
 
-    /// A request that is done by now, if there is one: it has left its slot.
-    pub fn pop(&mut self, now: Micros) -> Option<JobId> {
+    /// Removes a request that is finished by `now` from its slot and returns it, if there is one.
+    pub fn pop_finished(&mut self, now: Micros) -> Option<JobId> {
         self.advance(now);
-        // Rounding up to whole microseconds can leave less than one microsecond's work.
+        // Because event times are rounded to whole microseconds, up to one microsecond's work may be missing.
         let slack = self.rate() + 1e-6;
         let first = *self.running.first()?;
         if first.0 > self.clock + slack && self.rate() > 0.0 || self.rate() == 0.0 {
             return None;
         }
         self.running.remove(&first);
-        self.marks.remove(&first.1);
-        self.admit();
+        self.completion_points.remove(&first.1);
+        self.fill_slots();
         Some(first.1)
     }
 
-    /// Brings a request with this much work.
-    pub fn bring(&mut self, now: Micros, id: JobId, work: f64) -> Brought {
+    /// Submits a request with this much work.
+    pub fn submit(&mut self, now: Micros, id: JobId, work: f64) -> Admission {
         self.advance(now);
-        if self.running.len() + self.away < self.build.slots {
-            self.run(id, work);
-            return Brought::Runs;
+        if self.running.len() + self.waiting_for_next_tier < self.config.slots {
+            self.start(id, work);
+            return Admission::Running;
         }
-        if self.waiting.len() < self.build.queue {
+        if self.waiting.len() < self.config.queue {
             self.waiting.push_back((id, work));
-            return Brought::Waits;
+            return Admission::Queued;
         }
-        Brought::Full
+        Admission::Full
     }
 
-    fn run(&mut self, id: JobId, work: f64) {
-        let mark = self.clock + work.max(0.0);
-        self.running.insert(Mark(mark, id));
-        self.marks.insert(id, mark);
-        self.feel_crowd();
+    fn start(&mut self, id: JobId, work: f64) {
+        let point = self.clock + work.max(0.0);
+        self.running.insert(CompletionPoint(point, id));
+        self.completion_points.insert(id, point);
+        self.update_thrashing();
     }
 
-    fn admit(&mut self) {
-        while self.running.len() + self.away < self.build.slots {
+    fn fill_slots(&mut self) {
+        while self.running.len() + self.waiting_for_next_tier < self.config.slots {
             let Some((id, work)) = self.waiting.pop_front() else { break };
-            self.run(id, work);
+            self.start(id, work);
         }
-        self.feel_crowd();
+        self.update_thrashing();
     }
 
-    /// A request that was just done goes on to wait for another tier: it keeps a slot.
-    pub fn go_away(&mut self) {
-        self.away += 1;
+    /// Makes a request that was just taken as finished wait for the next tier: it occupies a slot again.
+    pub fn wait_for_next_tier(&mut self) {
+        self.waiting_for_next_tier += 1;
     }
 
-    /// One that was away has more work here.
-    pub fn come_back(&mut self, now: Micros, id: JobId, work: f64) {
+    /// Resumes a request that waited for the next tier, with this much more work here.
+    pub fn resume(&mut self, now: Micros, id: JobId, work: f64) {
         self.advance(now);
-        self.away = self.away.saturating_sub(1);
-        self.run(id, work);
+        self.waiting_for_next_tier = self.waiting_for_next_tier.saturating_sub(1);
+        self.start(id, work);
     }
 
-    /// One that was away is over.
-    pub fn end_away(&mut self, now: Micros) {
+    /// Ends a request that waited for the next tier, and frees its slot.
+    pub fn end_wait_for_next_tier(&mut self, now: Micros) {
         self.advance(now);
-        self.away = self.away.saturating_sub(1);
-        self.admit();
+        self.waiting_for_next_tier = self.waiting_for_next_tier.saturating_sub(1);
+        self.fill_slots();
     }
 
-    /// Calls a request off. True: it was here and is gone; false: it works on, or was not here.
+    /// Cancels a request. Returns true if the request was here and has been removed, false if it runs on or
+    /// was not here.
     pub fn cancel(&mut self, now: Micros, id: JobId) -> bool {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|w| w.0 == id) {
             self.waiting.remove(at);
             return true;
         }
-        if !self.build.cancel_stops {
+        if !self.config.cancel_stops {
             return false;
         }
-        let Some(mark) = self.marks.remove(&id) else { return false };
-        self.running.remove(&Mark(mark, id));
-        self.admit();
+        let Some(point) = self.completion_points.remove(&id) else { return false };
+        self.running.remove(&CompletionPoint(point, id));
+        self.fill_slots();
         true
     }
 
-    /// Changes what its speed is multiplied by; 0 stops it.
-    pub fn set_factor(&mut self, now: Micros, factor: f64) {
+    /// Sets the factor of the speed; 0 stops the node.
+    pub fn set_speed_factor(&mut self, now: Micros, factor: f64) {
         self.advance(now);
-        self.factor = factor.max(0.0);
+        self.speed_factor = factor.max(0.0);
     }
 
-    /// Ends all that it holds, as a restart does, and says which; requests that are away are the caller's to end.
-    pub fn clear(&mut self, now: Micros) -> Vec<JobId> {
+    /// Removes all requests, as a restart does, and returns those that ran or waited for a slot. The caller
+    /// has to end the requests that waited for the next tier.
+    pub fn remove_all(&mut self, now: Micros) -> Vec<JobId> {
         self.advance(now);
         let mut all: Vec<JobId> = self.running.iter().map(|m| m.1).collect();
         all.extend(self.waiting.iter().map(|w| w.0));
         all.sort_unstable();
         self.running.clear();
-        self.marks.clear();
+        self.completion_points.clear();
         self.waiting.clear();
-        self.away = 0;
-        (self.thrashing, self.crowded_since, self.calm_since) = (false, None, None);
+        self.waiting_for_next_tier = 0;
+        (self.thrashing, self.overloaded_since, self.calm_since) = (false, None, None);
         all
     }
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,113 +1,118 @@
-//! What decides for a balancer: the real module, or a reference to compare it with.
+//! The policy that makes a balancer's decisions: the real decision module, or a reference to compare it with.
 
-use crate::references::{Reference, Rule};
+use crate::references::{ReferencePolicy, SelectionRule};
 use garnettally_decisions::facade::{Decision, Decisions, Micros, PickRequest, Report};
 use garnettally_model::{ListedState, LocalObservations, Settings, Site};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Which policy a run has.
+/// The policy of all balancers in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    /// The project's decision module, as the program runs it.
+pub enum PolicyKind {
+    /// The project's decision module, as in the real program.
     #[default]
     Module,
-    /// Reference: any ready node.
+    /// Reference: a ready node at random.
     Random,
-    /// Reference: one ready node after the other.
+    /// Reference: the ready nodes in turn.
     RoundRobin,
-    /// Reference: of two ready nodes, the one with fewer own requests out.
+    /// Reference: of two random ready nodes, the one with fewer of the balancer's own attempts in flight.
     TwoChoices,
-    /// Reference: the ready node with the fewest own requests out.
+    /// Reference: the ready node with the fewest of the balancer's own attempts in flight.
     LeastOutstanding,
-    /// Reference: at random, weighted by the load that nodes report.
+    /// Reference: a random ready node, weighted by the inverse of the load that nodes report.
     WeightedReports,
-    /// Reference: the hot/cold rule over probes of requests in flight and latency (Wydrowski et al., NSDI 2024).
+    /// Reference: the hot/cold rule over probes of requests in flight and latency (Wydrowski et al., NSDI
+    /// 2024).
     Prequal,
-    /// Reference: sees the true state of every node, and no one else's requests under way.
+    /// Reference: sees the true state of every node, but not the attempts of other balancers that have not
+    /// arrived yet.
     Oracle,
 }
 
-impl Kind {
-    /// All of them, the module first.
-    pub const ALL: [Kind; 8] = [
-        Kind::Module,
-        Kind::Random,
-        Kind::RoundRobin,
-        Kind::TwoChoices,
-        Kind::LeastOutstanding,
-        Kind::WeightedReports,
-        Kind::Prequal,
-        Kind::Oracle,
+impl PolicyKind {
+    /// All policies, the decision module first.
+    pub const ALL: [PolicyKind; 8] = [
+        PolicyKind::Module,
+        PolicyKind::Random,
+        PolicyKind::RoundRobin,
+        PolicyKind::TwoChoices,
+        PolicyKind::LeastOutstanding,
+        PolicyKind::WeightedReports,
+        PolicyKind::Prequal,
+        PolicyKind::Oracle,
     ];
 
-    /// Its name in files and results.
+    /// The name of the policy in files and results.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Module => "module",
-            Kind::Random => "random",
-            Kind::RoundRobin => "round-robin",
-            Kind::TwoChoices => "two-choices",
-            Kind::LeastOutstanding => "least-outstanding",
-            Kind::WeightedReports => "weighted-reports",
-            Kind::Prequal => "prequal",
-            Kind::Oracle => "oracle",
+            PolicyKind::Module => "module",
+            PolicyKind::Random => "random",
+            PolicyKind::RoundRobin => "round-robin",
+            PolicyKind::TwoChoices => "two-choices",
+            PolicyKind::LeastOutstanding => "least-outstanding",
+            PolicyKind::WeightedReports => "weighted-reports",
+            PolicyKind::Prequal => "prequal",
+            PolicyKind::Oracle => "oracle",
         }
     }
 }
 
-/// What a node is really like, for references that may see it.
+/// The true state of a node, for references that may see it.
 #[derive(Clone, Debug, Default)]
-pub struct Truth {
-    /// Requests that it holds.
-    pub held: usize,
-    /// The work it can do in a microsecond; 0: none.
+pub struct TrueNodeState {
+    /// The number of requests at the node: running, waiting for the next tier, and waiting for a slot.
+    pub in_flight: usize,
+    /// The work that the node can do in a microsecond; 0 while it is stopped or unreachable.
     pub capacity: f64,
-    /// How long requests took of late, in microseconds, by the number that were held when they came; 0: none did.
-    pub latency: Vec<f64>,
+    /// The moving average of the time that requests took, in microseconds, by the number of requests at the
+    /// node when they arrived; 0: no such request yet.
+    pub mean_time: Vec<f64>,
 }
 
-impl Truth {
-    /// Notes how long a request took that came when so many were held.
-    pub(crate) fn served(&mut self, held: usize, took: f64) {
-        const MOST: usize = 256;
-        let at = held.min(MOST - 1);
-        if self.latency.len() <= at {
-            self.latency.resize(at + 1, 0.0);
+impl TrueNodeState {
+    /// Records that a request took `took` microseconds that arrived when `in_flight` requests were at the
+    /// node.
+    pub(crate) fn record_time(&mut self, in_flight: usize, took: f64) {
+        const MAX_IN_FLIGHT: usize = 256;
+        let at = in_flight.min(MAX_IN_FLIGHT - 1);
+        if self.mean_time.len() <= at {
+            self.mean_time.resize(at + 1, 0.0);
         }
-        let mean = &mut self.latency[at];
+        let mean = &mut self.mean_time[at];
         *mean = if *mean == 0.0 { took } else { *mean + 0.2 * (took - *mean) };
     }
 
-    /// How long a request that comes now is thought to take: as those took that came at the same number held, or at
-    /// the nearest that is known, in proportion.
-    pub(crate) fn expected(&self) -> f64 {
-        let known = |at: usize| self.latency.get(at).copied().filter(|l| *l > 0.0);
-        let near = (0..self.latency.len() + self.held).find_map(|d| {
-            let below = self.held.checked_sub(d).and_then(|at| known(at).map(|l| (at, l)));
-            below.or_else(|| known(self.held + d).map(|l| (self.held + d, l)))
+    /// Estimates the time of a request that arrives now, in microseconds: the average of requests that
+    /// arrived at the same number in flight, or at the nearest number with an average, scaled in proportion.
+    /// 0 without any average.
+    pub(crate) fn expected_time(&self) -> f64 {
+        let known = |at: usize| self.mean_time.get(at).copied().filter(|l| *l > 0.0);
+        let near = (0..self.mean_time.len() + self.in_flight).find_map(|d| {
+            let below = self.in_flight.checked_sub(d).and_then(|at| known(at).map(|l| (at, l)));
+            below.or_else(|| known(self.in_flight + d).map(|l| (self.in_flight + d, l)))
         });
-        near.map_or(0.0, |(at, l)| l * (self.held + 1) as f64 / (at + 1) as f64)
+        near.map_or(0.0, |(at, l)| l * (self.in_flight + 1) as f64 / (at + 1) as f64)
     }
 }
 
 /// The true state of the nodes of a tier.
-pub type Truths = Rc<RefCell<Vec<Truth>>>;
+pub type TrueNodeStates = Rc<RefCell<Vec<TrueNodeState>>>;
 
-/// Decides for one balancer. Nodes are numbered by their places in the tier.
+/// Makes the decisions of one balancer. Nodes are numbered by their indices in the tier.
 pub trait Policy {
-    /// Where a new request goes.
+    /// Handles a new request and returns what to do with it.
     fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision>;
-    /// Takes in what has become known.
+    /// Processes a report, such as the end of an attempt or a change of the list.
     fn report(&mut self, now: Micros, report: Report) -> Vec<Decision>;
-    /// Lets time pass.
+    /// Processes the timers that are due.
     fn tick(&mut self, now: Micros) -> Vec<Decision>;
-    /// When time is to pass next.
+    /// When [`Policy::tick`] has to be called next, if at all.
     fn next_tick(&self) -> Option<Micros>;
-    /// What it has found out by its own calls. References find out nothing.
-    fn findings(&self, _now: Micros) -> LocalObservations {
+    /// The observations that the policy has made by its own attempts. References make none.
+    fn local_observations(&self, _now: Micros) -> LocalObservations {
         LocalObservations::default()
     }
 }
@@ -125,28 +130,34 @@
     fn next_tick(&self) -> Option<Micros> {
         Decisions::next_tick(self)
     }
-    fn findings(&self, now: Micros) -> LocalObservations {
+    fn local_observations(&self, now: Micros) -> LocalObservations {
         Decisions::local_observations(self, now)
     }
 }
 
-/// A policy of a kind for one balancer.
-pub fn new(kind: Kind, site: Site, seed: u64, now: Micros, truths: &Truths) -> Box<dyn Policy> {
+/// Creates the policy of one balancer.
+pub fn create_policy(
+    kind: PolicyKind,
+    site: Site,
+    seed: u64,
+    now: Micros,
+    true_states: &TrueNodeStates,
+) -> Box<dyn Policy> {
     let settings: Settings = site.settings.clone();
     let rule = match kind {
-        Kind::Module => return Box::new(Decisions::new(site, seed, now)),
-        Kind::Random => Rule::Random,
-        Kind::RoundRobin => Rule::RoundRobin { next: seed as usize },
-        Kind::TwoChoices => Rule::TwoChoices,
-        Kind::LeastOutstanding => Rule::LeastOutstanding,
-        Kind::WeightedReports => Rule::WeightedReports,
-        Kind::Prequal => Rule::Prequal(Default::default()),
-        Kind::Oracle => Rule::Oracle,
+        PolicyKind::Module => return Box::new(Decisions::new(site, seed, now)),
+        PolicyKind::Random => SelectionRule::Random,
+        PolicyKind::RoundRobin => SelectionRule::RoundRobin { next: seed as usize },
+        PolicyKind::TwoChoices => SelectionRule::TwoChoices,
+        PolicyKind::LeastOutstanding => SelectionRule::LeastOutstanding,
+        PolicyKind::WeightedReports => SelectionRule::WeightedReports,
+        PolicyKind::Prequal => SelectionRule::Prequal(Default::default()),
+        PolicyKind::Oracle => SelectionRule::Oracle,
     };
-    Box::new(Reference::new(rule, settings, seed, truths.clone()))
+    Box::new(ReferencePolicy::new(rule, settings, seed, true_states.clone()))
 }
 
-/// Whether a node of a list takes new requests.
-pub(crate) fn takes(state: ListedState) -> bool {
+/// Whether a node listed in this state accepts new requests.
+pub(crate) fn accepts_requests(state: ListedState) -> bool {
     state == ListedState::Ready
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,34 +1,34 @@
-//! What came of a run.
+//! The results of a run.
 
-use crate::rules::{Break, Checker, Rule};
+use crate::rules::{Rule, RuleChecker, Violation};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Figures of one class, tenant, or of all.
+/// The outcomes of the requests of one class, of one tenant, or of all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Part {
-    /// Its name.
+pub struct OutcomeCounts {
+    /// The name of the class or tenant, or `all`.
     pub name: String,
-    /// Requests of clients, repeats not counted.
+    /// Requests that clients made after the warm-up; retries are not counted.
     pub asked: u64,
-    /// Of them, served within the aim.
+    /// Requests served within the aim.
     pub in_time: u64,
-    /// Served after it.
+    /// Requests served after the aim.
     pub late: u64,
-    /// Refused at the last try.
+    /// Requests refused at their last try.
     pub refused: u64,
-    /// Failed at the last try.
+    /// Requests that failed at their last try.
     pub failed: u64,
-    /// Given up by the client.
+    /// Requests that the client gave up, or that had no outcome at the end of the run.
     pub given_up: u64,
-    /// Worth that was asked for, and that was earned.
+    /// The total worth of the requests.
     pub worth_asked: f64,
-    /// Worth that was earned.
+    /// The worth that answers earned: all of it in time, the class's `late_worth` of it after the aim.
     pub worth_earned: f64,
 }
 
-impl Part {
-    /// Worth earned of what was asked for, 0 to 1; 1 where nothing was asked.
+impl OutcomeCounts {
+    /// The part of the total worth that was earned, 0 to 1; 1 without requests.
     pub fn service(&self) -> f64 {
         if self.worth_asked > 0.0 {
             self.worth_earned / self.worth_asked
@@ -38,80 +38,81 @@
     }
 }
 
-/// Percentiles of the times of what was served, from the first try on, in milliseconds.
+/// Percentiles of the latency of served requests, measured from the first try on, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// The median.
+    /// The median, in milliseconds.
     pub p50_ms: f64,
-    /// Nine in ten.
+    /// The 90th percentile, in milliseconds.
     pub p90_ms: f64,
-    /// 99 in 100.
+    /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// The 99.9th percentile, in milliseconds.
     pub p999_ms: f64,
-    /// The longest.
+    /// The maximum, in milliseconds.
     pub max_ms: f64,
 }
 
-/// What came of a run.
+/// The results of a run. Figures on requests leave out those that started in the warm-up, unless noted;
+/// figures on the work of nodes include the warm-up.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// The world's name.
     pub world: String,
-    /// The policy.
+    /// The name of the policy under which the run took place.
     pub policy: String,
-    /// The seed.
+    /// The seed of all random numbers of the run.
     pub seed: u64,
-    /// Worth earned of what was asked for, 0 to 1.
+    /// The part of the total worth of the requests that was earned, 0 to 1.
     pub service: f64,
-    /// Service of the worst second-long stretch with anything asked in it.
+    /// The lowest service, 0 to 1, of the requests that started within one second of the run.
     pub worst_second: f64,
-    /// Requests served in time, a second.
+    /// Requests served within the aim, per second.
     pub goodput: f64,
-    /// Work that nodes did for nothing, of all that they did.
+    /// The part of the work of all nodes, 0 to 1, that contributed to no answer.
     pub waste: f64,
-    /// Tries of clients for each request, and attempts of balancers for each try at the first tier.
+    /// Tries of clients per request.
     pub client_amplification: f64,
-    /// Attempts of the first tier's balancers for each try.
+    /// Attempts of the first tier's balancers per try of a client.
     pub retry_amplification: f64,
-    /// Times of what was served.
+    /// The latency of served requests.
     pub latency: Latency,
-    /// By tier: the spread of the nodes' use, as a coefficient of variation.
+    /// By tier: the coefficient of variation of the nodes' utilization.
     pub imbalance: Vec<f64>,
-    /// By tier: the part of their nominal capacity that nodes used.
+    /// By tier: the mean utilization of the nodes, as a part of their nominal capacity.
     pub used: Vec<f64>,
-    /// All requests.
-    pub all: Part,
-    /// By class.
-    pub classes: Vec<Part>,
-    /// By tenant.
-    pub tenants: Vec<Part>,
-    /// Requests, attempts, decisions asked for and events.
+    /// The outcomes of all requests.
+    pub all: OutcomeCounts,
+    /// The outcomes by class, in the order of the world.
+    pub classes: Vec<OutcomeCounts>,
+    /// The outcomes by tenant, in the order of the world.
+    pub tenants: Vec<OutcomeCounts>,
+    /// Requests of clients, including those of the warm-up.
     pub requests: u64,
-    /// Attempts of all tiers.
+    /// Attempts sent by the balancers of all tiers, including those of the warm-up.
     pub attempts: u64,
-    /// Calls of the policy.
+    /// Requests and reports that were passed to policies.
     pub decisions: u64,
-    /// Events of the run.
+    /// Events that were scheduled during the run.
     pub events: u64,
-    /// Rules that were broken, and how often.
+    /// Each rule, and how often it was broken; 0 for a rule that was kept.
     pub broken: Vec<(Rule, u64)>,
-    /// The first breaks.
-    pub breaks: Vec<Break>,
+    /// The first violations in detail.
+    pub breaks: Vec<Violation>,
 }
 
 impl Report {
-    /// Whether all rules were kept.
-    pub fn lawful(&self) -> bool {
+    /// Whether no rule was broken.
+    pub fn all_rules_kept(&self) -> bool {
         self.broken.iter().all(|(_, n)| *n == 0)
     }
 
-    pub(crate) fn take_rules(&mut self, checker: &Checker) {
+    pub(crate) fn set_rule_results(&mut self, checker: &RuleChecker) {
         self.broken = checker.counts().to_vec();
-        self.breaks = checker.breaks().to_vec();
+        self.breaks = checker.violations().to_vec();
     }
 
-    /// A few lines for people.
+    /// Formats the results as a few lines of text for people.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{} under {}, seed {}\n  service {:.4}, worst second {:.3}, goodput {:.1}/s, waste {:.3}, retry amplification {:.3} (clients {:.3})\n",
@@ -151,24 +152,24 @@
     }
 }
 
-/// Times between a microsecond and an hour, to three figures.
+/// A histogram of times between a microsecond and an hour, with three significant digits.
 pub(crate) fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts; without them it takes any value.
+    // The library accepts these constant bounds; the fallback has no bounds and accepts any value.
     Histogram::new_with_bounds(1, 3_600_000_000, 3)
         .or_else(|_| Histogram::new(3))
-        .unwrap_or_else(|_| unreachable!("three significant figures are within what histograms allow"))
+        .unwrap_or_else(|_| unreachable!("histograms allow three significant digits"))
 }
 
-pub(crate) fn latency(h: &Histogram<u64>) -> Latency {
-    if h.is_empty() {
+pub(crate) fn latency_percentiles(times: &Histogram<u64>) -> Latency {
+    if times.is_empty() {
         return Latency::default();
     }
-    let at = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
+    let at = |q: f64| times.value_at_quantile(q) as f64 / 1e3;
     Latency {
         p50_ms: at(0.5),
         p90_ms: at(0.9),
         p99_ms: at(0.99),
         p999_ms: at(0.999),
-        max_ms: h.max() as f64 / 1e3,
+        max_ms: times.max() as f64 / 1e3,
     }
 }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,276 +1,331 @@
-//! The four rules, checked from what happened in the world: nothing here asks a balancer what it believes, and nothing
-//! is shared with the module.
+//! The four rules, checked against the events of the world: the checker does not query the state of a
+//! balancer, and shares no code with the decision module.
 //!
-//! 1. A balancer gives exactly one final answer to what it has taken, in time.
-//! 2. Nothing is repeated beyond what its class allows.
-//! 3. Nothing new goes to a node more than half a second after the balancer was told that it drains or is gone.
-//! 4. No freshly started node is pushed over by all balancers together.
+//! 1. A balancer gives exactly one final answer to each request that it has accepted, in time.
+//! 2. No request is repeated beyond what its class allows.
+//! 3. No new attempt goes to a node more than half a second after the balancer was notified that the node
+//!    drains or was removed.
+//! 4. No freshly started node crashes because all balancers together send it too much work.
 
 use garnettally_model::Micros;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// After being told that a node drains or is gone, for so long a send may still be on its way out.
+/// How long after the notification that a node drains or was removed an attempt may still be sent to the
+/// node.
 pub const DRAIN_GRACE: Micros = Micros(500_000);
-/// An answer may come this much after its time.
+/// The tolerated delay of an answer after the deadline of its request.
 pub const ANSWER_GRACE: Micros = Micros(50_000);
-/// The most breaks that are told one by one; all are counted.
-const MOST_TOLD: usize = 20;
+/// The most violations that are recorded in detail; all are counted.
+const MAX_RECORDED_VIOLATIONS: usize = 20;
 
-/// Which rule.
+/// A rule that every balancer has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer to each request taken, in time.
+    /// Each accepted request gets one final answer, in time.
     OneAnswer,
-    /// Nothing repeated beyond what its class allows.
+    /// No request is repeated beyond what its class allows.
     Repeats,
-    /// Nothing new to a node that drains or is gone.
+    /// No new attempt goes to a node that drains or was removed.
     Drained,
-    /// No cold node pushed over.
+    /// No cold node crashes because it is sent too much work.
     ColdNode,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
-    /// Which.
+pub struct Violation {
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When, in microseconds from the start.
+    /// The time of the violation, in microseconds from the start of the run.
     pub at_us: i64,
-    /// How.
+    /// A description of the violation, for people.
     pub what: String,
 }
 
-/// What a class allows.
+/// The repeats that a class allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Allows {
-    /// Any repeat.
+pub enum AllowedRepeats {
+    /// Any repeat is allowed.
     Any,
-    /// Repeats in the cell of the first attempt that may have run, within this time of it.
+    /// Repeats are allowed in the cell of the first attempt that may have run, within this time after it was
+    /// sent.
     InCell(Micros),
-    /// None once one may have run.
+    /// No repeat is allowed once an attempt may have run.
     None,
 }
 
-/// What is known of an attempt's running.
+/// Whether an attempt may have run at its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
-    /// It may have, or may yet.
-    Perhaps,
-    /// It never did, and the balancer has been told.
+pub enum Execution {
+    /// The attempt may have run, or may still run.
+    Possible,
+    /// The attempt never ran, and the balancer knows it.
     Never,
 }
 
-struct Taken {
+struct AcceptedRequest {
     expires: Micros,
     answered: bool,
-    left: bool,
-    allows: Allows,
-    most: u32,
+    client_left: bool,
+    allows: AllowedRepeats,
+    max_attempts: u32,
     parallel: bool,
-    /// When each attempt was sent, its cell, whether it may have run, and whether it is out.
-    attempts: Vec<(Micros, usize, Ran, bool)>,
+    /// Of each attempt: when it was sent, its cell, whether it may have run, and whether it is in flight.
+    attempts: Vec<(Micros, usize, Execution, bool)>,
 }
 
-struct Cold {
+struct ColdNode {
     tip: f64,
     window: Micros,
-    /// Work that was sent to it while it was cold.
+    /// The work sent to the node within the window, with the time at which it arrived.
     sent: VecDeque<(Micros, f64)>,
     sum: f64,
-    fallen: bool,
+    crashed: bool,
 }
 
-/// Watches a run.
+/// Records the events of a run and checks the rules against them.
 #[derive(Default)]
-pub struct Checker {
-    taken: FxHashMap<u64, Taken>,
-    told: FxHashMap<(usize, usize), Micros>,
-    cold: FxHashMap<usize, Cold>,
-    breaks: Vec<Break>,
+pub struct RuleChecker {
+    requests: FxHashMap<u64, AcceptedRequest>,
+    /// By balancer and node: since when the balancer has known that the node accepts no new requests.
+    closed_since: FxHashMap<(usize, usize), Micros>,
+    cold: FxHashMap<usize, ColdNode>,
+    violations: Vec<Violation>,
     counts: [u64; 4],
 }
 
-impl Checker {
-    fn broken(&mut self, rule: Rule, at: Micros, what: String) {
+impl RuleChecker {
+    fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
         self.counts[rule as usize] += 1;
-        if self.breaks.len() < MOST_TOLD {
-            self.breaks.push(Break { rule, at_us: at.0, what });
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
+            self.violations.push(Violation { rule, at_us: at.0, what });
         }
     }
 
-    /// A balancer has taken a request.
-    pub fn taken(&mut self, call: u64, expires: Micros, allows: Allows, most: u32, parallel: bool) {
+    /// Records that a balancer has accepted a request, of which it may make up to `max_attempts` attempts.
+    pub fn request_accepted(
+        &mut self,
+        call: u64,
+        expires: Micros,
+        allows: AllowedRepeats,
+        max_attempts: u32,
+        parallel: bool,
+    ) {
         let attempts = Vec::new();
-        self.taken
-            .insert(call, Taken { expires, answered: false, left: false, allows, most, parallel, attempts });
+        self.requests.insert(
+            call,
+            AcceptedRequest {
+                expires,
+                answered: false,
+                client_left: false,
+                allows,
+                max_attempts,
+                parallel,
+                attempts,
+            },
+        );
     }
 
-    /// It has given a final answer.
-    pub fn answered(&mut self, now: Micros, call: u64) {
-        let Some(t) = self.taken.get_mut(&call) else {
-            return self.broken(
+    /// Records that a balancer has given a final answer to a request.
+    pub fn request_answered(&mut self, now: Micros, call: u64) {
+        let Some(request) = self.requests.get_mut(&call) else {
+            return self.record_violation(
                 Rule::OneAnswer,
                 now,
-                format!("call {call} was answered, and never taken or twice"),
+                format!(
+                    "call {call} was answered, though it was not open: \
+                     it was never accepted, or was answered before"
+                ),
             );
         };
-        let (twice, late) = (t.answered, !t.left && now > t.expires + ANSWER_GRACE);
-        t.answered = true;
+        let (twice, late) = (request.answered, !request.client_left && now > request.expires + ANSWER_GRACE);
+        request.answered = true;
         if twice {
-            self.broken(Rule::OneAnswer, now, format!("call {call} was answered twice"));
+            self.record_violation(Rule::OneAnswer, now, format!("call {call} was answered twice"));
         } else if late {
-            self.broken(Rule::OneAnswer, now, format!("call {call} was answered after its time"));
+            self.record_violation(
+                Rule::OneAnswer,
+                now,
+                format!("call {call} was answered after its deadline"),
+            );
         }
-        self.forget(call);
+        self.remove_ended(call);
     }
 
-    /// Its client has waited for all of the time that it told, and a little longer.
-    pub fn gave_up(&mut self, now: Micros, call: u64) {
-        let owed = |t: &Taken| !t.answered && !t.left && now >= t.expires + ANSWER_GRACE;
-        if self.taken.get(&call).is_some_and(owed) {
-            self.broken(Rule::OneAnswer, now, format!("call {call} was not answered in its time"));
+    /// Records that the client has given up: the deadline that it sent and the tolerance have passed.
+    pub fn client_gave_up(&mut self, now: Micros, call: u64) {
+        let unanswered = |request: &AcceptedRequest| {
+            !request.answered && !request.client_left && now >= request.expires + ANSWER_GRACE
+        };
+        if self.requests.get(&call).is_some_and(unanswered) {
+            self.record_violation(
+                Rule::OneAnswer,
+                now,
+                format!("call {call} was not answered by its deadline"),
+            );
         }
-        self.left(call);
+        self.client_left(call);
     }
 
-    /// Its client has gone away, which the balancer may hear of later.
-    pub fn left(&mut self, call: u64) {
-        if let Some(t) = self.taken.get_mut(&call) {
-            t.left = true;
+    /// Records that the client has disconnected; the balancer may be notified later.
+    pub fn client_left(&mut self, call: u64) {
+        if let Some(request) = self.requests.get_mut(&call) {
+            request.client_left = true;
         }
-        self.forget(call);
+        self.remove_ended(call);
     }
 
-    fn forget(&mut self, call: u64) {
-        let over = |t: &Taken| (t.answered || t.left) && t.attempts.iter().all(|a| !a.3);
-        // What was answered stays known while attempts are out: another answer would be one too many.
-        if self.taken.get(&call).is_some_and(over) {
-            self.taken.remove(&call);
+    fn remove_ended(&mut self, call: u64) {
+        let ended = |request: &AcceptedRequest| {
+            (request.answered || request.client_left) && request.attempts.iter().all(|a| !a.3)
+        };
+        // An answered request stays recorded while attempts are in flight, to detect a second answer.
+        if self.requests.get(&call).is_some_and(ended) {
+            self.requests.remove(&call);
         }
     }
 
-    /// It has sent an attempt to a node of a cell.
-    pub fn sent(&mut self, now: Micros, call: u64, cell: usize) {
-        let Some(t) = self.taken.get_mut(&call) else {
-            return self.broken(Rule::Repeats, now, format!("call {call} was sent when it was over"));
+    /// Records that the balancer has sent an attempt to a node of a cell.
+    pub fn attempt_sent(&mut self, now: Micros, call: u64, cell: usize) {
+        let Some(request) = self.requests.get_mut(&call) else {
+            return self.record_violation(Rule::Repeats, now, format!("call {call} was sent after its end"));
         };
-        let may_have_run: Vec<_> = t.attempts.iter().filter(|a| a.2 == Ran::Perhaps).copied().collect();
-        let n = t.attempts.len() as u32;
-        let beside = t.attempts.iter().any(|a| a.3) && !t.parallel;
-        t.attempts.push((now, cell, Ran::Perhaps, true));
-        let (allows, most) = (t.allows, t.most);
-        if n >= most {
-            return self.broken(
+        let may_have_run: Vec<_> =
+            request.attempts.iter().filter(|a| a.2 == Execution::Possible).copied().collect();
+        let earlier_attempts = request.attempts.len() as u32;
+        let in_parallel = request.attempts.iter().any(|a| a.3) && !request.parallel;
+        request.attempts.push((now, cell, Execution::Possible, true));
+        let (allows, max_attempts) = (request.allows, request.max_attempts);
+        if earlier_attempts >= max_attempts {
+            return self.record_violation(
                 Rule::Repeats,
                 now,
-                format!("call {call} was sent {} times of {most}", n + 1),
+                format!("call {call} was sent {} times; {max_attempts} are allowed", earlier_attempts + 1),
             );
         }
-        if beside {
-            return self.broken(Rule::Repeats, now, format!("call {call} was sent twice at a time"));
+        if in_parallel {
+            return self.record_violation(
+                Rule::Repeats,
+                now,
+                format!("call {call} was sent while another attempt was in flight"),
+            );
         }
         let Some(first) = may_have_run.first() else { return };
         match allows {
-            Allows::Any => {}
-            Allows::None => self.broken(Rule::Repeats, now, format!("call {call} must not be repeated")),
-            Allows::InCell(window) => {
+            AllowedRepeats::Any => {}
+            AllowedRepeats::None => {
+                self.record_violation(Rule::Repeats, now, format!("call {call} must not be repeated"))
+            }
+            AllowedRepeats::InCell(window) => {
                 if first.1 != cell {
                     let what = format!("call {call} was repeated in cell {cell}, first in cell {}", first.1);
-                    self.broken(Rule::Repeats, now, what);
+                    self.record_violation(Rule::Repeats, now, what);
                 } else if now - first.0 >= window {
-                    self.broken(Rule::Repeats, now, format!("call {call} was repeated after its window"));
+                    self.record_violation(
+                        Rule::Repeats,
+                        now,
+                        format!("call {call} was repeated after its window"),
+                    );
                 }
             }
         }
     }
 
-    /// The balancer has learned how an attempt of a call ended.
-    pub fn ended(&mut self, call: u64, number: u32, ran: Ran) {
-        if let Some(a) = self.taken.get_mut(&call).and_then(|t| t.attempts.get_mut(number as usize)) {
+    /// Records that the balancer has been notified of the end of an attempt.
+    pub fn attempt_ended(&mut self, call: u64, number: u32, ran: Execution) {
+        if let Some(a) = self.requests.get_mut(&call).and_then(|t| t.attempts.get_mut(number as usize)) {
             (a.2, a.3) = (ran, false);
         }
-        self.forget(call);
+        self.remove_ended(call);
     }
 
-    /// A balancer has been told that a node takes new requests, or that it does not any more.
-    pub fn told(&mut self, now: Micros, balancer: usize, node: usize, takes: bool) {
-        if takes {
-            self.told.remove(&(balancer, node));
+    /// Records that a balancer was notified whether a node accepts new requests.
+    pub fn node_state_notified(&mut self, now: Micros, balancer: usize, node: usize, accepts_requests: bool) {
+        if accepts_requests {
+            self.closed_since.remove(&(balancer, node));
         } else {
-            self.told.entry((balancer, node)).or_insert(now);
+            self.closed_since.entry((balancer, node)).or_insert(now);
         }
     }
 
-    /// A balancer has sent something new to a node.
-    pub fn sent_to(&mut self, now: Micros, balancer: usize, node: usize) {
-        if let Some(&told) = self.told.get(&(balancer, node)) {
-            if now - told > DRAIN_GRACE {
-                let late = (now - told).0 as f64 / 1e6;
-                self.broken(
+    /// Records that a balancer has sent a new attempt to a node.
+    pub fn node_sent_to(&mut self, now: Micros, balancer: usize, node: usize) {
+        if let Some(&since) = self.closed_since.get(&(balancer, node)) {
+            if now - since > DRAIN_GRACE {
+                let late = (now - since).0 as f64 / 1e6;
+                self.record_violation(
                     Rule::Drained,
                     now,
-                    format!("balancer {balancer} sent to node {node} {late:.3} s after being told"),
+                    format!(
+                        "balancer {balancer} sent to node {node} {late:.3} s after it was notified \
+                         that the node drains or was removed"
+                    ),
                 );
             }
         }
     }
 
-    /// A node has started: until it is warm it falls over when it is sent `tip` times what it can do in a window.
-    pub fn started(&mut self, node: usize, tip: f64, window: Micros) {
-        self.cold.insert(node, Cold { tip, window, sent: VecDeque::new(), sum: 0.0, fallen: false });
+    /// Records that a node has started: until it is warm it crashes when, within a window, it is sent more
+    /// than `tip` times the work that it can do.
+    pub fn node_started(&mut self, node: usize, tip: f64, window: Micros) {
+        self.cold.insert(node, ColdNode { tip, window, sent: VecDeque::new(), sum: 0.0, crashed: false });
     }
 
-    /// It is warm, or gone.
-    pub fn warm(&mut self, node: usize) {
+    /// Records that a node is no longer cold.
+    pub fn node_warmed_up(&mut self, node: usize) {
         self.cold.remove(&node);
     }
 
-    /// Work has been sent to a node that can do so much in a microsecond. True: it falls over now.
+    /// Records that work has been sent to a node that can do `capacity` of it in a microsecond. Returns
+    /// whether the node crashes now.
     pub fn work_sent(&mut self, now: Micros, node: usize, work: f64, capacity: f64) -> bool {
-        let Some(c) = self.cold.get_mut(&node).filter(|c| !c.fallen) else { return false };
-        c.sent.push_back((now, work));
-        c.sum += work;
-        while let Some(&(_, old)) = c.sent.front().filter(|(at, _)| now - *at > c.window) {
-            c.sent.pop_front();
-            c.sum -= old;
+        let Some(cold_node) = self.cold.get_mut(&node).filter(|c| !c.crashed) else { return false };
+        cold_node.sent.push_back((now, work));
+        cold_node.sum += work;
+        while let Some(&(_, old)) = cold_node.sent.front().filter(|(at, _)| now - *at > cold_node.window) {
+            cold_node.sent.pop_front();
+            cold_node.sum -= old;
         }
-        // A window has to have passed: one heavy request is no push.
-        let span = c.sent.front().map_or(Micros(0), |f| now - f.0);
-        let pushed = c.sum > c.tip * capacity * c.window.0 as f64 && span.0 * 2 > c.window.0;
-        if pushed {
-            c.fallen = true;
-            let sum = c.sum / 1e3;
-            self.broken(
+        // At least half a window has to be covered: a single heavy request does not crash a node.
+        let span = cold_node.sent.front().map_or(Micros(0), |f| now - f.0);
+        let overloaded = cold_node.sum > cold_node.tip * capacity * cold_node.window.0 as f64
+            && span.0 * 2 > cold_node.window.0;
+        if overloaded {
+            cold_node.crashed = true;
+            let sum = cold_node.sum / 1e3;
+            self.record_violation(
                 Rule::ColdNode,
                 now,
-                format!("cold node {node} was sent {sum:.0} ms of work in its window"),
+                format!("cold node {node} was sent {sum:.0} ms of work within its window"),
             );
         }
-        pushed
+        overloaded
     }
 
-    /// The run is over: whatever is still owed past its time was lost.
+    /// Ends the run: a request that has no answer although its deadline has passed counts as lost.
     pub fn finish(&mut self, now: Micros) {
-        let lost = |t: &Taken| !t.answered && !t.left && now > t.expires + ANSWER_GRACE;
-        let mut late: Vec<u64> = self.taken.iter().filter(|(_, t)| lost(t)).map(|(&id, _)| id).collect();
+        let lost = |request: &AcceptedRequest| {
+            !request.answered && !request.client_left && now > request.expires + ANSWER_GRACE
+        };
+        let mut late: Vec<u64> = self.requests.iter().filter(|(_, t)| lost(t)).map(|(&id, _)| id).collect();
         late.sort_unstable();
         for call in late {
-            self.broken(Rule::OneAnswer, now, format!("call {call} was never answered"));
+            self.record_violation(Rule::OneAnswer, now, format!("call {call} was never answered"));
         }
     }
 
-    /// How often each rule was broken.
+    /// The number of violations of each rule.
     pub fn counts(&self) -> [(Rule, u64); 4] {
         let rules = [Rule::OneAnswer, Rule::Repeats, Rule::Drained, Rule::ColdNode];
         rules.map(|r| (r, self.counts[r as usize]))
     }
 
-    /// The first breaks.
-    pub fn breaks(&self) -> &[Break] {
-        &self.breaks
+    /// The first violations, in detail.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,16 +1,16 @@
-//! The description of a world, in TOML. `docs/worlds.md` tells every key.
+//! The description of a world, in TOML. `docs/worlds.md` documents every key.
 
-use crate::draw::{Shape, Stream};
+use crate::draw::{RandomStream, WorkDistribution};
 use garnettally_model::Micros;
 use serde::de::{Error as _, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 
-/// A length of time, written as "250ms" or "2s".
+/// A duration, written as "250ms" or "2s".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub Micros);
 
-fn read_time<E: serde::de::Error>(text: &str) -> Result<Time, E> {
+fn parse_time<E: serde::de::Error>(text: &str) -> Result<Time, E> {
     let time = humantime::parse_duration(text).map_err(|e| {
         E::custom(format!("{text:?} is no time ({e}): write a number and a unit, such as \"250ms\""))
     })?;
@@ -19,73 +19,74 @@
 
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Time, D::Error> {
-        read_time(&String::deserialize(d)?)
+        parse_time(&String::deserialize(d)?)
     }
 }
 
-/// Something between two bounds, drawn for each node, zone or fault; written as one value, or as two.
+/// A range from which a value is drawn for each node, zone or fault; written as one value, or as an array of
+/// two.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Between<T> {
-    /// The least.
+    /// The lower bound, inclusive.
     pub low: T,
-    /// The most.
+    /// The upper bound; not less than `low`.
     pub high: T,
 }
 
 impl<T: Copy> Between<T> {
-    /// Always this.
-    pub fn just(value: T) -> Between<T> {
+    /// A range that consists of this value alone.
+    pub fn exactly(value: T) -> Between<T> {
         Between { low: value, high: value }
     }
 }
 
 impl Between<f64> {
-    /// A draw, uniform between the bounds.
-    pub fn draw(&self, s: &mut Stream) -> f64 {
-        self.low + (self.high - self.low) * s.unit()
+    /// Draws a value, uniformly distributed between the bounds.
+    pub fn draw(&self, stream: &mut RandomStream) -> f64 {
+        self.low + (self.high - self.low) * stream.unit()
     }
 }
 
 impl Between<Time> {
-    /// A draw, uniform between the bounds.
-    pub fn draw(&self, s: &mut Stream) -> Micros {
+    /// Draws a value, uniformly distributed between the bounds.
+    pub fn draw(&self, stream: &mut RandomStream) -> Micros {
         let (low, high) = (self.low.0 .0, self.high.0 .0);
-        Micros(low + ((high - low) as f64 * s.unit()) as i64)
+        Micros(low + ((high - low) as f64 * stream.unit()) as i64)
     }
 }
 
 struct BetweenVisitor<T>(std::marker::PhantomData<T>);
 
 trait Bound: Sized + Copy + PartialOrd {
-    const WHAT: &'static str;
-    fn text<E: serde::de::Error>(text: &str) -> Result<Self, E>;
-    fn number<E: serde::de::Error>(n: f64) -> Result<Self, E>;
+    const EXPECTED: &'static str;
+    fn parse_text<E: serde::de::Error>(text: &str) -> Result<Self, E>;
+    fn parse_number<E: serde::de::Error>(n: f64) -> Result<Self, E>;
 }
 
 impl Bound for f64 {
-    const WHAT: &'static str = "a number, or an array of the least and the most";
-    fn text<E: serde::de::Error>(text: &str) -> Result<f64, E> {
+    const EXPECTED: &'static str = "a number, or an array of the least and the most";
+    fn parse_text<E: serde::de::Error>(text: &str) -> Result<f64, E> {
         Err(E::custom(format!("{text:?} is no number")))
     }
-    fn number<E: serde::de::Error>(n: f64) -> Result<f64, E> {
+    fn parse_number<E: serde::de::Error>(n: f64) -> Result<f64, E> {
         Ok(n)
     }
 }
 
 impl Bound for Time {
-    const WHAT: &'static str = "a time such as \"250ms\", or an array of the least and the most";
-    fn text<E: serde::de::Error>(text: &str) -> Result<Time, E> {
-        read_time(text)
+    const EXPECTED: &'static str = "a time such as \"250ms\", or an array of the least and the most";
+    fn parse_text<E: serde::de::Error>(text: &str) -> Result<Time, E> {
+        parse_time(text)
     }
-    fn number<E: serde::de::Error>(n: f64) -> Result<Time, E> {
+    fn parse_number<E: serde::de::Error>(n: f64) -> Result<Time, E> {
         Err(E::custom(format!("{n} has no unit: write a time such as \"250ms\"")))
     }
 }
 
-struct One<T>(T);
+struct SingleValue<T>(T);
 
-impl<'de, T: Bound> Deserialize<'de> for One<T> {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<One<T>, D::Error> {
+impl<'de, T: Bound> Deserialize<'de> for SingleValue<T> {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<SingleValue<T>, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
         enum Raw {
@@ -93,8 +94,8 @@
             Text(String),
         }
         match Raw::deserialize(d)? {
-            Raw::Number(n) => T::number(n).map(One),
-            Raw::Text(text) => T::text(&text).map(One),
+            Raw::Number(n) => T::parse_number(n).map(SingleValue),
+            Raw::Text(text) => T::parse_text(&text).map(SingleValue),
         }
     }
 }
@@ -102,22 +103,27 @@
 impl<'de, T: Bound> Visitor<'de> for BetweenVisitor<T> {
     type Value = Between<T>;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(T::WHAT)
+        f.write_str(T::EXPECTED)
     }
     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Between<T>, E> {
-        T::text(text).map(Between::just)
+        T::parse_text(text).map(Between::exactly)
     }
     fn visit_f64<E: serde::de::Error>(self, n: f64) -> Result<Between<T>, E> {
-        T::number(n).map(Between::just)
+        T::parse_number(n).map(Between::exactly)
     }
     fn visit_i64<E: serde::de::Error>(self, n: i64) -> Result<Between<T>, E> {
-        T::number(n as f64).map(Between::just)
+        T::parse_number(n as f64).map(Between::exactly)
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Between<T>, A::Error> {
-        let both =
-            (seq.next_element::<One<T>>()?, seq.next_element::<One<T>>()?, seq.next_element::<One<T>>()?);
+        let both = (
+            seq.next_element::<SingleValue<T>>()?,
+            seq.next_element::<SingleValue<T>>()?,
+            seq.next_element::<SingleValue<T>>()?,
+        );
         match both {
-            (Some(One(low)), Some(One(high)), None) if low <= high => Ok(Between { low, high }),
+            (Some(SingleValue(low)), Some(SingleValue(high)), None) if low <= high => {
+                Ok(Between { low, high })
+            }
             _ => Err(A::Error::custom("an array of two is wanted, the least first")),
         }
     }
@@ -129,50 +135,51 @@
     }
 }
 
-fn time(ms: i64) -> Time {
+fn millis(ms: i64) -> Time {
     Time(Micros(ms * 1_000))
 }
 
-fn times(low: i64, high: i64) -> Between<Time> {
-    Between { low: time(low), high: time(high) }
+fn millis_range(low: i64, high: i64) -> Between<Time> {
+    Between { low: millis(low), high: millis(high) }
 }
 
-/// A world.
+/// The description of an emulated system: its nodes, balancers, clients and faults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct World {
-    /// The version of this format: 1.
+    /// The version of this file format: 1.
     pub version: u32,
-    /// Its name, in results.
+    /// The name under which results list the world.
     #[serde(default)]
     pub name: String,
-    /// For how long clients ask.
+    /// How long clients send new requests, from the start of the run; above 0, and 24 h at the most.
     pub lasts: Time,
-    /// What is asked before this counts for nothing.
+    /// Requests that start before this time are left out of the results; shorter than `lasts`.
     #[serde(default)]
     pub warm_up: Time,
-    /// The zones; nodes and balancers are spread over them evenly.
+    /// The names of the zones, 1 to 64; nodes and balancers are spread over them evenly.
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
-    /// How long messages take.
+    /// The delays of messages.
     #[serde(default)]
     pub network: Network,
-    /// The tiers, the one that clients reach first.
+    /// The tiers, one at the least; the first is the one that clients call.
     pub tiers: Vec<Tier>,
-    /// Kinds of requests.
+    /// The classes of requests, one at the least.
     pub classes: Vec<Class>,
-    /// Who requests are for.
+    /// The tenants on whose behalf requests are made; may be empty.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Those who ask.
+    /// The clients that send the requests.
     pub clients: Clients,
-    /// What balancers may do, and how finely they see time.
+    /// The abilities of the balancers and the resolution of their clocks.
     #[serde(default)]
     pub balancers: Balancers,
-    /// What goes wrong.
+    /// The faults of the run.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The balancers of the first tier share what they find out. Default: they share nothing.
+    /// The links over which balancers of the first tier share their verdicts on nodes. Default: they share
+    /// nothing.
     #[serde(default)]
     pub fleet: Option<FleetLink>,
 }
@@ -181,13 +188,13 @@
     vec!["a".into()]
 }
 
-/// How long messages take, one way.
+/// The one-way delays of messages.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// Within a zone.
+    /// The delay within a zone.
     pub within: Between<Time>,
-    /// Between two zones.
+    /// The delay between two zones.
     pub between: Between<Time>,
 }
 
@@ -198,69 +205,74 @@
     }
 }
 
-/// A tier of nodes.
+/// A tier of nodes and the balancers in front of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// The name by which faults refer to the tier.
     pub name: String,
-    /// Its nodes.
+    /// The number of nodes, 1 to 100,000.
     pub nodes: usize,
-    /// Balancers in front of the first tier. Those of later tiers are the nodes above: each has one of its own.
+    /// The number of balancers in front of the first tier, 1 to 10,000. A later tier has one balancer for
+    /// each node of the tier before it.
     #[serde(default = "one")]
     pub balancers: usize,
-    /// Cores of a node.
+    /// The number of cores of a node; above 0.
     #[serde(default = "two_cores")]
     pub cores: Between<f64>,
-    /// Speed of a core; 1 does a second of work in a second.
+    /// The speed of a core, above 0; at speed 1 a core does one second of work in a second.
     #[serde(default = "speed")]
     pub speed: Between<f64>,
-    /// Requests that a node holds at a time.
+    /// The requests that a node processes at a time, including those that wait for the next tier; 1 at the
+    /// least.
     #[serde(default = "slots")]
     pub slots: usize,
-    /// Requests that wait for a slot; past them requests are turned away unseen.
+    /// The requests that may wait for a slot; beyond this number the node rejects a request without running
+    /// it.
     #[serde(default = "queue")]
     pub queue: usize,
-    /// Nodes that drop repeats of one another's keys.
+    /// The number of nodes in a cell; the nodes of a cell drop repeats of a key that any of them has seen. 1
+    /// at the least.
     #[serde(default = "cell")]
     pub cell: usize,
-    /// Connections that a node keeps; past them a new one is refused.
+    /// The open connections that a node accepts; beyond this number it refuses a new one. 1 at the least.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// Work that a new connection costs the node.
+    /// The work that a new connection costs the node.
     #[serde(default = "handshake")]
     pub handshake: Time,
-    /// Idle connections are closed after this.
+    /// The time after which an idle connection is closed.
     #[serde(default = "idle")]
     pub idle: Time,
-    /// Whether a request that was called off is stopped; else it runs on, and its work is wasted.
+    /// Whether a cancelled request is stopped; otherwise it runs to its end, and its work is wasted.
     #[serde(default = "yes")]
     pub cancel_stops: bool,
-    /// Chance of an error of a request.
+    /// The probability that a request ends in an error, 0 to 1.
     #[serde(default)]
     pub errors: f64,
-    /// When a crowd turns a node slow. Default: never.
+    /// The conditions under which an overloaded node becomes slow. Default: a node never does.
     #[serde(default)]
-    pub thrash: Option<ThrashText>,
-    /// A node that has started can do this part of its work.
+    pub thrash: Option<ThrashSettings>,
+    /// The part of its full capacity that a node has right after its start, 0.01 to 1.
     #[serde(default = "cold_share")]
     pub cold_share: f64,
-    /// And all of it after this.
+    /// The time after its start at which a node has its full capacity.
     #[serde(default = "warm_after")]
     pub warm_after: Time,
-    /// A cold node that gets this many times what it can do, over `tip_window`, falls over.
+    /// A cold node crashes when, over `tip_window`, it is sent more than this many times the work that it can
+    /// do.
     #[serde(default = "tip_factor")]
     pub tip_factor: f64,
-    /// The time over which that is counted.
+    /// The time over which the work sent to a cold node is counted.
     #[serde(default = "tip_window")]
     pub tip_window: Time,
-    /// Pauses of a node: how often on average, and how long. Default: none.
+    /// The pauses of a node: their mean interval and their length. Default: a node has no pauses.
     #[serde(default)]
     pub pauses: Option<Pauses>,
-    /// The node list.
+    /// How the list of the tier's nodes reaches the balancers.
     #[serde(default)]
     pub list: List,
-    /// Load reports in answers. Default: none.
+    /// The load reports that nodes add to their answers. Default: answers carry none.
     #[serde(default)]
     pub reports: Option<Reports>,
 }
@@ -269,7 +281,7 @@
     1
 }
 fn two_cores() -> Between<f64> {
-    Between::just(2.0)
+    Between::exactly(2.0)
 }
 fn speed() -> Between<f64> {
     Between { low: 0.8, high: 1.25 }
@@ -290,7 +302,7 @@
     Time(Micros(500))
 }
 fn idle() -> Time {
-    time(60_000)
+    millis(60_000)
 }
 fn yes() -> bool {
     true
@@ -299,117 +311,117 @@
     0.3
 }
 fn warm_after() -> Time {
-    time(8_000)
+    millis(8_000)
 }
 fn tip_factor() -> f64 {
     3.0
 }
 fn tip_window() -> Time {
-    time(2_000)
+    millis(2_000)
 }
 
-/// When a crowd turns a node slow.
+/// The conditions under which an overloaded node becomes slow, and recovers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ThrashText {
-    /// Running requests for each core.
+pub struct ThrashSettings {
+    /// The number of running requests for each core above which a node counts as overloaded; above 0.
     pub above: f64,
-    /// For this long.
+    /// How long a node has to be overloaded before it becomes slow.
     pub after: Time,
-    /// The speed is divided by this.
+    /// The divisor of a slow node's speed; 1 or more.
     pub factor: Between<f64>,
-    /// It ends once no more run than there are cores for this long.
+    /// A slow node recovers once it has had no more running requests than cores for this long.
     pub calm: Time,
 }
 
-/// Pauses of a node, as of a garbage collector.
+/// The pauses of a node, such as those of a garbage collector.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pauses {
-    /// The mean time between two.
+    /// The mean time from the end of a pause to the start of the next one; exponentially distributed.
     pub every: Time,
-    /// How long one is.
+    /// The length of a pause.
     pub last: Between<Time>,
 }
 
-/// The node list.
+/// How the list of a tier's nodes reaches the balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// How long after a node has changed a balancer is told.
+    /// The time from a change of a node until a balancer receives it, drawn for each balancer.
     pub delay: Between<Time>,
 }
 
 impl Default for List {
     fn default() -> Self {
-        List { delay: times(200, 1_000) }
+        List { delay: millis_range(200, 1_000) }
     }
 }
 
-/// Load reports in answers: the requests that a node holds.
+/// The load reports in answers, which give the number of requests in flight at a node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reports {
-    /// They are taken anew this often.
+    /// The interval at which a node measures its load.
     pub every: Time,
-    /// And told this much later.
+    /// The delay of the reports; it is added to the interval between two measurements.
     pub delay: Time,
-    /// Wrong by up to this part, either way.
+    /// The largest relative error of a report, in either direction.
     pub noise: f64,
 }
 
 impl Default for Reports {
     fn default() -> Self {
-        Reports { every: time(1_000), delay: time(0), noise: 0.0 }
+        Reports { every: millis(1_000), delay: millis(0), noise: 0.0 }
     }
 }
 
-/// What a repeat of a request does.
+/// The effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
-    /// Nothing.
+    /// A repeat has no further effect.
     Safe,
-    /// The nodes of its cell drop it.
+    /// The nodes of the cell that has seen the request's key drop the repeat.
     Keyed,
-    /// It must not run twice.
+    /// The request must not run twice.
     Never,
 }
 
-/// A kind of requests.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name under which results list the class.
     pub name: String,
-    /// Its part of what is asked; only ratios count.
+    /// The class's share of all requests, from 0; only the ratios between classes matter.
     #[serde(default = "whole")]
     pub share: f64,
-    /// What a repeat does.
+    /// The effect of repeating a request of this class.
     #[serde(default = "safe")]
     pub repeat: Repeat,
-    /// How long nodes drop repeats of a key.
+    /// How long the nodes of a cell drop repeats of a key.
     #[serde(default = "window")]
     pub window: Time,
-    /// Answers within this earn full worth.
+    /// An answer within this time earns the full worth; above 0.
     pub aim: Time,
-    /// Clients give up after this.
+    /// The time that clients allow for a request, all tries together; not shorter than `aim`.
     pub deadline: Time,
-    /// Worth of one request.
+    /// The worth of one request; above 0.
     #[serde(default = "whole")]
     pub worth: f64,
-    /// Part of the worth that an answer past the aim earns.
+    /// The part of the worth that an answer later than the aim earns, 0 to 1.
     #[serde(default)]
     pub late_worth: f64,
-    /// Mean work in each tier, the first one first; the last is repeated for those that follow.
+    /// The mean work of a request in each tier, from the first tier on; later tiers use the last value.
     pub work: Vec<Time>,
-    /// How work is spread.
+    /// The distribution of the work.
     #[serde(default)]
-    pub shape: Shape,
-    /// Mean number of calls that a request makes to the next tier, one after another.
+    pub shape: WorkDistribution,
+    /// The mean number of calls that a request makes to the next tier, one after another; 0 to 100.
     #[serde(default)]
     pub calls: f64,
-    /// Clients tell the work beforehand.
+    /// Whether clients send a cost hint that gives the work of their request.
     #[serde(default)]
     pub hints: bool,
 }
@@ -421,36 +433,36 @@
     Repeat::Safe
 }
 fn window() -> Time {
-    time(10_000)
+    millis(10_000)
 }
 
-/// Who requests are for.
+/// A tenant on whose behalf requests are made.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The name under which results list the tenant.
     pub name: String,
-    /// Its part of what is asked; only ratios count.
+    /// The tenant's share of all requests; only the ratios between tenants matter.
     #[serde(default = "whole")]
     pub share: f64,
-    /// Requests a second that are within its share. Default: no bound.
+    /// The requests a second that the tenant's quota covers. Default: no bound.
     #[serde(default)]
     pub quota: Option<f64>,
 }
 
-/// Those who ask.
+/// The clients that send the requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second, on average.
+    /// The mean number of first tries a second; above 0, and 10 million at the most.
     pub rate: f64,
-    /// How they arrive.
+    /// The distribution of the arrivals over time.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// A client gives up after this part of the class's deadline.
+    /// The part of the class's deadline after which a client gives up a try.
     #[serde(default = "patience")]
     pub patience: Between<f64>,
-    /// Whether and how they try again.
+    /// Whether and when clients retry.
     #[serde(default)]
     pub retries: Retries,
 }
@@ -459,188 +471,192 @@
     Between { low: 0.8, high: 1.0 }
 }
 
-/// How clients arrive.
+/// The distribution of the arrivals of clients over time.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "lowercase", tag = "kind")]
 pub enum Arrivals {
-    /// Independently.
+    /// Clients arrive independently of each other, at a constant rate.
     #[default]
     Poisson,
-    /// Independently, at a rate that goes up and down.
+    /// Clients arrive independently of each other, at a rate that follows a sine.
     Wave {
-        /// From one crest to the next.
+        /// The time from one maximum of the rate to the next; above 0.
         period: Time,
-        /// By this part of the rate, 0 to 1.
+        /// The amplitude, as a part of the mean rate; 0 to 1.
         swing: f64,
     },
-    /// In bursts: two states, each with an exponential time.
+    /// Clients arrive in bursts: the rate alternates between two states, each of which lasts an exponentially
+    /// distributed time.
     Bursty {
-        /// The rate in a burst, as a multiple of the mean.
+        /// The rate in a burst, as a multiple of the mean rate; 1 or more.
         factor: f64,
-        /// The part of the time that is bursts, 0 to 1; with `factor` less than 1 in all.
+        /// The part of the time that bursts take, 0 to 1; its product with `factor` is less than 1.
         share: f64,
-        /// The mean length of a burst.
+        /// The mean length of a burst; above 0.
         last: Time,
     },
-    /// As recorded: times from the start, in order; they are repeated until the end.
+    /// Clients arrive at recorded times; the recording is repeated until the end of the run.
     Trace {
-        /// The times.
+        /// The times of arrival from the start, in order; one at the least.
         at: Vec<Time>,
     },
 }
 
-/// How clients try again.
+/// Whether and when clients retry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retries {
-    /// At most so often.
+    /// The most retries of one request; 0: clients do not retry.
     pub most: u32,
-    /// After this at first; doubled each time, and drawn between half of it and all of it.
+    /// The wait before the first retry. It doubles with each retry; the wait used is drawn between half of it
+    /// and all of it.
     pub wait: Time,
-    /// Not before the time that a refusal tells.
+    /// Whether a client adds the time that a refusal names to its wait.
     pub heed_retry_after: bool,
-    /// Also after they gave up waiting.
+    /// Whether a client also retries after it gave up a try.
     pub after_timeout: bool,
 }
 
 impl Default for Retries {
     fn default() -> Self {
-        Retries { most: 0, wait: time(200), heed_retry_after: true, after_timeout: true }
+        Retries { most: 0, wait: millis(200), heed_retry_after: true, after_timeout: true }
     }
 }
 
-/// What balancers may do, and how finely they see time.
+/// The abilities of the balancers and the resolution of their clocks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Balancers {
-    /// They hear of what came in once in this time; "0s": at once.
+    /// Balancers process their input once per this interval; "0s": at once.
     pub resolution: Time,
-    /// The most attempts of one request.
+    /// The most attempts that a balancer makes for one request.
     pub attempts: u32,
-    /// Two attempts of one request may be out together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub parallel: bool,
-    /// Attempts may be called off.
+    /// Whether a balancer may cancel attempts.
     pub cancel: bool,
-    /// Refusals tell when to return, at the most after this; "0s": they tell nothing.
+    /// The longest wait that a refusal asks the client for; "0s": refusals name no time.
     pub retry_after_max: Time,
-    /// Opening a connection may take so long.
+    /// The time-out for opening a connection.
     pub connect: Time,
 }
 
 impl Default for Balancers {
     fn default() -> Self {
         Balancers {
-            resolution: time(0),
+            resolution: millis(0),
             attempts: 3,
             parallel: true,
             cancel: true,
-            retry_after_max: time(2_000),
-            connect: time(250),
+            retry_after_max: millis(2_000),
+            connect: millis(250),
         }
     }
 }
 
-/// The links among the balancers of the first tier. They take the times of the network, and a partition cuts them, too.
+/// The links between the balancers of the first tier. They have the delays of the network, and a partition
+/// cuts them, too.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetLink {
-    /// Each asks some peers for news this often.
+    /// The interval at which each balancer asks some of its peers for updates.
     pub ask_every: Time,
-    /// News is void when it is so old.
+    /// The age at which shared information expires.
     pub max_age: Time,
-    /// This part of all datagrams is lost.
+    /// The part of all datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// This part of all links, one direction each, is cut.
+    /// The part of all links that is cut, 0 to 1; the two directions between a pair count as two links.
     pub cut: f64,
 }
 
 impl Default for FleetLink {
     fn default() -> Self {
-        FleetLink { ask_every: time(200), max_age: time(20_000), loss: 0.0, cut: 0.0 }
+        FleetLink { ask_every: millis(200), max_age: millis(20_000), loss: 0.0, cut: 0.0 }
     }
 }
 
-/// Something that goes wrong.
+/// A fault: what fails, when, and for how long.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, from the start.
+    /// When the fault begins, from the start of the run.
     pub at: Between<Time>,
-    /// For how long.
+    /// How long the fault lasts.
     #[serde(rename = "for")]
     pub lasts: Between<Time>,
-    /// The tier. Default: the first.
+    /// The name of the tier that the fault affects. Default: the first.
     #[serde(default)]
     pub tier: Option<String>,
-    /// The part of its nodes that it befalls, one at the least.
+    /// The part of the tier's nodes (or balancers) that the fault affects, 0 to 1; one at the least.
     #[serde(default = "some_nodes")]
     pub share: Between<f64>,
-    /// What happens.
-    pub what: What,
+    /// The kind of the fault.
+    pub what: FaultKind,
 }
 
 fn some_nodes() -> Between<f64> {
-    Between::just(0.1)
+    Between::exactly(0.1)
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// Nodes are slower by this factor.
+pub enum FaultKind {
+    /// Nodes are slower by this factor; 1 or more.
     Slow(Between<f64>),
-    /// Nodes take requests and answer none.
+    /// Nodes accept requests and answer none.
     Hang,
-    /// Nodes fail this part of their requests, at once.
+    /// Nodes answer this part of their requests, 0 to 1, with an error at once.
     FastErrors(Between<f64>),
-    /// Answers of nodes are spoilt, in this part of them.
+    /// Nodes end this part of their requests, 0 to 1, in an error after doing the work.
     Spoilt(Between<f64>),
-    /// Load reports come later by this.
+    /// Load reports of all nodes are delayed by this much more.
     LateReports(Between<Time>),
-    /// Clients ask this many times as often.
+    /// The arrival rate of clients is multiplied by this; 1 or more.
     Burst(Between<f64>),
-    /// Nodes are gone without a word, and back afterwards, cold.
+    /// Nodes disappear without closing their connections, and start again at the end, cold.
     Vanish,
     /// Nodes drain for a second, stop, and start again at the end, cold.
     Restart,
-    /// Processes of the first tier's balancers die, `share` of them, and start anew at the end: they know the list and
-    /// nothing else. Clients whose connections end so see a failure; new ones go to another balancer.
+    /// Processes of the first tier's balancers, `share` of them, are killed, and start anew at the end with
+    /// the node list as their only state. Clients whose connections end this way see a failure; new clients
+    /// go to another balancer.
     KillBalancers,
-    /// Processes of the first tier's balancers stand still, `share` of them, and go on at the end.
+    /// Processes of the first tier's balancers, `share` of them, are stopped, and continue at the end.
     StopBalancers,
-    /// One zone is cut off from the others.
+    /// The network drops all messages between one zone and the others.
     Partition,
-    /// The node list tells nothing.
+    /// Changes of the node list are withheld from the balancers until the end.
     StaleList,
-    /// The node list calls the nodes gone, though they serve.
+    /// The node list marks nodes as removed, though they serve.
     LyingList,
 }
 
-/// Why a world can't be used.
+/// The reason why a world can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
-    /// It can't be read.
+    /// The text is not TOML, or does not have the fields of a world.
     #[error("{0}")]
     Read(String),
-    /// A value makes no sense.
+    /// A value is out of its bounds.
     #[error("{key}: {what}")]
     Value {
-        /// The key.
+        /// The key of the value, such as `tiers[0].nodes`.
         key: String,
-        /// What is wrong, and what to do.
+        /// What is wrong with the value, or which values are allowed.
         what: String,
     },
 }
 
-impl What {
-    /// Whether it befalls balancers.
-    pub fn of_balancers(&self) -> bool {
-        matches!(self, What::KillBalancers | What::StopBalancers)
+impl FaultKind {
+    /// Whether the fault affects balancers rather than nodes.
+    pub fn targets_balancers(&self) -> bool {
+        matches!(self, FaultKind::KillBalancers | FaultKind::StopBalancers)
     }
 }
 
 impl World {
-    /// Reads and checks a description.
+    /// Parses and checks the description of a world.
     pub fn parse(text: &str) -> Result<World, WorldError> {
         let world: World = toml::from_str(text).map_err(|e| WorldError::Read(e.to_string()))?;
         world.check()?;
@@ -664,39 +680,39 @@
         if self.tiers.is_empty() || self.classes.is_empty() {
             return wrong("tiers, classes", "name one of each at the least");
         }
-        for (i, t) in self.tiers.iter().enumerate() {
+        for (i, tier) in self.tiers.iter().enumerate() {
             let key = |name: &str| format!("tiers[{i}].{name}");
-            if t.nodes == 0 || t.nodes > 100_000 {
+            if tier.nodes == 0 || tier.nodes > 100_000 {
                 return wrong(&key("nodes"), "1 to 100000");
             }
-            if t.balancers == 0 || t.balancers > 10_000 {
+            if tier.balancers == 0 || tier.balancers > 10_000 {
                 return wrong(&key("balancers"), "1 to 10000");
             }
-            if t.slots == 0 || t.cell == 0 || t.connections == 0 {
+            if tier.slots == 0 || tier.cell == 0 || tier.connections == 0 {
                 return wrong(&key("slots, cell, connections"), "1 at the least");
             }
-            if !(t.cores.low > 0.0 && t.speed.low > 0.0) {
+            if !(tier.cores.low > 0.0 && tier.speed.low > 0.0) {
                 return wrong(&key("cores, speed"), "must be above 0");
             }
-            if !(0.0..=1.0).contains(&t.errors) || !(0.01..=1.0).contains(&t.cold_share) {
+            if !(0.0..=1.0).contains(&tier.errors) || !(0.01..=1.0).contains(&tier.cold_share) {
                 return wrong(&key("errors, cold_share"), "errors 0 to 1, cold_share 0.01 to 1");
             }
-            if t.thrash.as_ref().is_some_and(|t| t.above <= 0.0 || t.factor.low < 1.0) {
+            if tier.thrash.as_ref().is_some_and(|t| t.above <= 0.0 || t.factor.low < 1.0) {
                 return wrong(&key("thrash"), "above must be above 0, and factor 1 or more");
             }
         }
-        for (i, c) in self.classes.iter().enumerate() {
+        for (i, class) in self.classes.iter().enumerate() {
             let key = |name: &str| format!("classes[{i}].{name}");
-            if c.work.is_empty() || c.work.iter().any(|w| w.0 <= Micros(0)) {
+            if class.work.is_empty() || class.work.iter().any(|w| w.0 <= Micros(0)) {
                 return wrong(&key("work"), "a time above 0 for the first tier at the least");
             }
-            if c.aim.0 <= Micros(0) || c.deadline < c.aim {
+            if class.aim.0 <= Micros(0) || class.deadline < class.aim {
                 return wrong(&key("deadline"), "must not be shorter than aim, which must be above 0");
             }
-            if !(c.share >= 0.0
-                && c.worth > 0.0
-                && (0.0..=1.0).contains(&c.late_worth)
-                && (0.0..=100.0).contains(&c.calls))
+            if !(class.share >= 0.0
+                && class.worth > 0.0
+                && (0.0..=1.0).contains(&class.late_worth)
+                && (0.0..=100.0).contains(&class.calls))
             {
                 return wrong(
                     &key("share, worth, late_worth, calls"),
@@ -731,38 +747,38 @@
     }
 
     fn check_faults(&self) -> Result<(), WorldError> {
-        for (i, f) in self.faults.iter().enumerate() {
+        for (i, fault) in self.faults.iter().enumerate() {
             let wrong = |what: String| Err(WorldError::Value { key: format!("faults[{i}]"), what });
-            if let Some(tier) = f.tier.as_ref().filter(|t| !self.tiers.iter().any(|x| x.name == **t)) {
+            if let Some(tier) = fault.tier.as_ref().filter(|t| !self.tiers.iter().any(|x| x.name == **t)) {
                 let names: Vec<&str> = self.tiers.iter().map(|t| t.name.as_str()).collect();
                 return wrong(format!("no tier is called {tier:?}; there are {}", names.join(", ")));
             }
-            if !(0.0..=1.0).contains(&f.share.low) || f.share.high > 1.0 {
+            if !(0.0..=1.0).contains(&fault.share.low) || fault.share.high > 1.0 {
                 return wrong("share must be 0 to 1".into());
             }
-            if f.what.of_balancers() && self.tier_of(f) != 0 {
+            if fault.what.targets_balancers() && self.tier_index(fault) != 0 {
                 return wrong("tier: only balancers of the first tier die or stand still".into());
             }
-            let bad = match &f.what {
-                What::Slow(b) | What::Burst(b) => b.low < 1.0,
-                What::FastErrors(b) | What::Spoilt(b) => b.low < 0.0 || b.high > 1.0,
+            let out_of_range = match &fault.what {
+                FaultKind::Slow(b) | FaultKind::Burst(b) => b.low < 1.0,
+                FaultKind::FastErrors(b) | FaultKind::Spoilt(b) => b.low < 0.0 || b.high > 1.0,
                 _ => false,
             };
-            if bad {
+            if out_of_range {
                 return wrong("a factor must be 1 or more, a part 0 to 1".into());
             }
         }
         Ok(())
     }
 
-    /// The place of a fault's tier.
-    pub fn tier_of(&self, fault: &Fault) -> usize {
+    /// The index of the tier that a fault affects.
+    pub fn tier_index(&self, fault: &Fault) -> usize {
         let named = fault.tier.as_ref().and_then(|t| self.tiers.iter().position(|x| x.name == *t));
         named.unwrap_or(0)
     }
 
-    /// Mean work of a class in a tier, in microseconds.
-    pub fn work(&self, class: usize, tier: usize) -> f64 {
+    /// The mean work of a request of a class in a tier, in microseconds.
+    pub fn mean_work(&self, class: usize, tier: usize) -> f64 {
         let work = &self.classes[class].work;
         work.get(tier).or(work.last()).map_or(0.0, |t| t.0 .0 as f64)
     }
--- a/crates/emulator/tests/registry.rs
+++ b/crates/emulator/tests/registry.rs
@@ -1,34 +1,34 @@
-//! The registry's queue: when calls are answered, which fail, and what they cost.
+//! Tests of the registry's queue: when calls are answered, which calls fail, and what they cost.
 
-use garnettally_emulator::registry::{RegistryLimits, RegistryQueue, Verdict};
+use garnettally_emulator::registry::{CallOutcome, RegistryLimits, RegistryQueue};
 use garnettally_model::Micros;
 
 const SECOND: i64 = 1_000_000;
 
-/// A call without lines in its answer takes 0.3 s.
+/// With these limits a call without lines in its answer takes 0.3 s.
 const LIMITS: RegistryLimits = RegistryLimits {
     lines_per_second: 100.0,
     call_lines: 30,
-    wait_most: Micros(2 * SECOND),
-    backlog_most: Micros(5 * SECOND),
+    max_wait: Micros(2 * SECOND),
+    max_backlog: Micros(5 * SECOND),
 };
 
-fn answered(at: i64) -> Verdict {
-    Verdict::Answered { at: Micros(at) }
+fn answered(at: i64) -> CallOutcome {
+    CallOutcome::Answered { at: Micros(at) }
 }
 
-fn refused(at: i64) -> Verdict {
-    Verdict::Refused { at: Micros(at) }
+fn refused(at: i64) -> CallOutcome {
+    CallOutcome::Refused { at: Micros(at) }
 }
 
 #[test]
-fn calls_are_answered_one_after_another_at_the_price_of_their_lines() {
+fn calls_are_answered_one_after_another_and_cost_their_lines() {
     let mut queue = RegistryQueue::new(LIMITS);
     assert_eq!(queue.call(Micros(0), 0), answered(300_000));
     assert_eq!(queue.call(Micros(100_000), 20), answered(800_000));
     assert_eq!(queue.call(Micros(100_000), 0), answered(1_100_000));
     assert_eq!(queue.backlog(Micros(600_000)), Micros(500_000));
-    // After a pause nothing is left to wait for.
+    // After 3 s without calls the backlog is empty.
     assert_eq!(queue.backlog(Micros(3 * SECOND)), Micros(0));
     assert_eq!(queue.call(Micros(3 * SECOND), 0), answered(3_300_000));
     let figures = queue.figures();
@@ -37,9 +37,13 @@
 }
 
 #[test]
-fn a_call_that_waits_too_long_fails_then_and_is_paid_for() {
+fn a_call_that_waits_too_long_fails_at_its_time_out_and_still_costs_its_lines() {
     let mut queue = RegistryQueue::new(LIMITS);
-    assert_eq!(queue.call(Micros(0), 170), answered(2 * SECOND), "just in time");
+    assert_eq!(
+        queue.call(Micros(0), 170),
+        answered(2 * SECOND),
+        "the answer arrives exactly at the time-out"
+    );
     assert_eq!(queue.call(Micros(500_000), 0), answered(2_300_000));
     assert_eq!(queue.call(Micros(500_000), 0), refused(2_500_000));
     assert_eq!(queue.backlog(Micros(500_000)), Micros(2_100_000));
@@ -48,16 +52,16 @@
 }
 
 #[test]
-fn calls_over_the_backlog_are_turned_away_at_once_and_cost_nothing() {
+fn calls_beyond_the_backlog_limit_are_rejected_at_once_and_cost_nothing() {
     let mut queue = RegistryQueue::new(LIMITS);
-    // 17 calls make 5.1 s of work.
+    // 17 calls take 5.1 s to process.
     for n in 0..17 {
         assert_ne!(queue.call(Micros(0), 0), refused(0), "call {n}");
     }
     assert_eq!(queue.call(Micros(0), 0), refused(0));
     assert_eq!(queue.backlog(Micros(0)), Micros(5_100_000));
     assert_eq!(queue.call(Micros(99_999), 0), refused(99_999));
-    // With 5 s of work left calls are accepted again, though in vain.
+    // With a backlog of 5 s calls are accepted again, but time out.
     assert_eq!(queue.call(Micros(100_000), 0), refused(2_100_000));
     let figures = queue.figures();
     assert_eq!((figures.calls, figures.answered), (20, 6));
@@ -66,11 +70,11 @@
 }
 
 #[test]
-fn while_it_is_down_every_call_fails_when_its_time_is_up_and_costs_nothing() {
+fn during_an_outage_every_call_fails_at_its_time_out_and_costs_nothing() {
     let mut queue = RegistryQueue::new(LIMITS);
     queue.set_down(Micros(SECOND), Micros(9 * SECOND));
     assert_eq!(queue.call(Micros(600_000), 0), answered(900_000));
-    // It is accepted, and not answered any more.
+    // The call is accepted, but the outage begins before its answer.
     assert_eq!(queue.call(Micros(800_000), 0), refused(2_800_000));
     let spent = queue.figures().lines_spent;
     assert!(!queue.is_down(Micros(SECOND - 1)) && queue.is_down(Micros(SECOND)));
@@ -82,7 +86,7 @@
 }
 
 #[test]
-fn work_accepted_before_an_outage_is_left_after_it() {
+fn work_accepted_before_an_outage_remains_after_it() {
     let mut queue = RegistryQueue::new(LIMITS);
     queue.set_down(Micros(SECOND), Micros(2 * SECOND));
     for _ in 0..10 {
--- a/crates/emulator/tests/stale_lists/directory.rs
+++ b/crates/emulator/tests/stale_lists/directory.rs
@@ -1,27 +1,27 @@
-//! The discovery service: versions of the list, and what becomes of a call.
+//! The discovery service: the versions of the list, and the outcomes of calls.
 
 use crate::schedule::{AnswerForm, FailureMode, Schedule, SECOND};
-use garnettally_emulator::registry::{RegistryLimits, RegistryQueue, Verdict};
+use garnettally_emulator::registry::{CallOutcome, RegistryLimits, RegistryQueue};
 use garnettally_model::{CallFailure, HostList, ListedState, Listing, Micros};
 
-/// As measured on a service that some hundred processes shared.
+/// The limits as measured on a service that some hundred processes shared.
 pub const LIMITS: RegistryLimits = RegistryLimits {
     lines_per_second: 1_609.0,
     call_lines: 30,
-    wait_most: Micros(2 * SECOND),
-    backlog_most: Micros(5 * SECOND),
+    max_wait: Micros(2 * SECOND),
+    max_backlog: Micros(5 * SECOND),
 };
 
-/// Lines of an answer, whatever its form: as measured when little has changed.
+/// The lines of an answer of either form, as measured when little has changed.
 pub const ANSWER_LINES: u32 = 5;
 
-/// What a call takes of the service's time, in microseconds.
-pub const CALL_TIME: f64 = (LIMITS.call_lines + ANSWER_LINES) as f64 / LIMITS.lines_per_second * 1e6;
+/// The processing time of a call at the service, in microseconds.
+pub const CALL_TIME_US: f64 = (LIMITS.call_lines + ANSWER_LINES) as f64 / LIMITS.lines_per_second * 1e6;
 
-/// A connection that does not come up is given up after this (`Limits::discovery_connect`).
+/// The time-out for opening a connection (`Limits::discovery_connect`).
 const CONNECT_TIMEOUT: Micros = Micros(SECOND);
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     Answered { at: Micros },
@@ -32,13 +32,13 @@
     queue: RegistryQueue,
 }
 
-/// The name of an upstream, and back.
+/// The name of an upstream; [`number_of`] is the inverse.
 pub fn name_of(upstream: usize) -> String {
     format!("upstream-{upstream}")
 }
 
 pub fn number_of(name: &str) -> usize {
-    name.rsplit('-').next().and_then(|n| n.parse().ok()).expect("a name of this bed")
+    name.rsplit('-').next().and_then(|n| n.parse().ok()).expect("names of upstreams end in their number")
 }
 
 fn entry(upstream: usize, state: ListedState) -> (Listing, Option<std::net::SocketAddr>) {
@@ -65,18 +65,19 @@
             }
             Some(FailureMode::RefusesLate) | None => {
                 match self.queue.call(now, schedule.answer_lines_at(now)) {
-                    Verdict::Answered { at } => CallEnd::Answered { at },
-                    Verdict::Refused { at } => CallEnd::Failed { at, failure: CallFailure::Busy },
+                    CallOutcome::Answered { at } => CallEnd::Answered { at },
+                    CallOutcome::Refused { at } => CallEnd::Failed { at, failure: CallFailure::Busy },
                 }
             }
         }
     }
 
-    /// The list of a process that was told of these departures and no others.
-    pub fn list_held(schedule: &Schedule, is_told: impl Fn(usize) -> bool) -> HostList {
+    /// The list of a process that was notified of the departures for which `was_notified` is true, and of no
+    /// others.
+    pub fn known_list(schedule: &Schedule, was_notified: impl Fn(usize) -> bool) -> HostList {
         let state = |upstream: usize| {
             let departure = schedule.departures.iter().enumerate().find(|(_, d)| d.upstream == upstream);
-            departure.filter(|(n, _)| is_told(*n)).map_or(ListedState::Ready, |(_, d)| d.listed)
+            departure.filter(|(n, _)| was_notified(*n)).map_or(ListedState::Ready, |(_, d)| d.listed)
         };
         let listed = (0..schedule.upstreams).map(|u| entry(u, state(u)));
         HostList {
@@ -86,25 +87,30 @@
         }
     }
 
-    /// What is written to a process that was told of what `is_told` says, at this time.
-    pub fn answer(schedule: &Schedule, now: Micros, is_told: impl Fn(usize) -> bool) -> HostList {
+    /// The answer at this time to a process that was notified of the departures for which `was_notified` is
+    /// true.
+    pub fn answer(schedule: &Schedule, now: Micros, was_notified: impl Fn(usize) -> bool) -> HostList {
         let past = schedule.departures.iter().enumerate().filter(|(_, d)| d.at <= now);
         match schedule.answers {
             AnswerForm::Changes => {
-                let hosts = past.filter(|(n, _)| !is_told(*n)).map(|(_, d)| entry(d.upstream, d.listed));
+                let hosts = past.filter(|(n, _)| !was_notified(*n)).map(|(_, d)| entry(d.upstream, d.listed));
                 HostList { seq: 0, whole: false, hosts: hosts.collect() }
             }
             AnswerForm::WholeList => {
-                let left: Vec<usize> = past.map(|(_, d)| d.upstream).collect();
-                let stay = (0..schedule.upstreams).filter(|u| !left.contains(u));
-                HostList { seq: 0, whole: true, hosts: stay.map(|u| entry(u, ListedState::Ready)).collect() }
+                let departed: Vec<usize> = past.map(|(_, d)| d.upstream).collect();
+                let remaining = (0..schedule.upstreams).filter(|u| !departed.contains(u));
+                HostList {
+                    seq: 0,
+                    whole: true,
+                    hosts: remaining.map(|u| entry(u, ListedState::Ready)).collect(),
+                }
             }
         }
     }
 
-    /// The line on one departure.
+    /// The line that a watch carries on a departure.
     pub fn change(schedule: &Schedule, departure: usize) -> HostList {
-        let d = &schedule.departures[departure];
-        HostList { seq: 0, whole: false, hosts: vec![entry(d.upstream, d.listed)] }
+        let departure = &schedule.departures[departure];
+        HostList { seq: 0, whole: false, hosts: vec![entry(departure.upstream, departure.listed)] }
     }
 }
