--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -1,112 +1,122 @@
-//! The emulator against what theory and its own rules say.
+//! Checks the emulator against results of queueing theory and against its own rules.
 
-use garnettally_decisions::facade::{Decision, Micros, PickRequest, Report as News, RequestId, ServerId};
+use garnettally_decisions::facade::{Decision, Micros, PickRequest, Report, RequestId, ServerId};
 use garnettally_emulator::day;
-use garnettally_emulator::draw::Stream;
+use garnettally_emulator::draw::RandomStream;
 use garnettally_emulator::events::Events;
-use garnettally_emulator::node::{Brought, Build, Node};
-use garnettally_emulator::policy::{Kind, Policy};
+use garnettally_emulator::node::{Admission, Node, NodeConfig};
+use garnettally_emulator::policy::{Policy, PolicyKind};
 use garnettally_emulator::rules::Rule;
 use garnettally_emulator::world::{World, WorldError};
 use std::time::Duration;
 
-fn build(cores: f64, slots: usize) -> Build {
-    Build { cores, speed: 1.0, slots, queue: usize::MAX, cancel_stops: true, thrash: None }
+fn node_config(cores: f64, slots: usize) -> NodeConfig {
+    NodeConfig { cores, speed: 1.0, slots, queue: usize::MAX, cancel_stops: true, thrash: None }
 }
 
-/// Mean time in the system of exponential work at Poisson arrivals, in units of the mean work, over many requests.
+/// Measures the mean time of requests in the node, in units of the mean work, with exponentially distributed
+/// work and Poisson arrivals.
 fn mean_time(cores: f64, slots: usize, load: f64, requests: u64, seed: u64) -> f64 {
-    let (mut arrivals, mut work) = (Stream::new(seed, "arrivals", 0), Stream::new(seed, "work", 0));
-    let mut node = Node::new(build(cores, slots), Micros(0));
+    let (mut arrivals, mut work) =
+        (RandomStream::new(seed, "arrivals", 0), RandomStream::new(seed, "work", 0));
+    let mut node = Node::new(node_config(cores, slots), Micros(0));
     let mut events: Events<Option<u64>> = Events::default();
     const WORK: f64 = 100_000.0;
     let gap = WORK / (load * cores);
-    let mut came = Vec::new();
+    let mut arrived_at = Vec::new();
     let (mut total, mut served, mut version) = (0.0, 0u64, 0u64);
-    events.at(Micros(0), None);
+    events.schedule_at(Micros(0), None);
     while served < requests {
-        let Some(event) = events.next(Micros(i64::MAX)) else { break };
+        let Some(event) = events.next_before(Micros(i64::MAX)) else { break };
         let now = events.now();
         match event {
             None => {
-                let id = came.len() as u64;
-                came.push(now);
-                assert_ne!(node.bring(now, id, work.exponential(WORK)), Brought::Full);
-                events.after(Micros(arrivals.exponential(gap) as i64), None);
+                let id = arrived_at.len() as u64;
+                arrived_at.push(now);
+                assert_ne!(node.submit(now, id, work.exponential(WORK)), Admission::Full);
+                events.schedule_after(Micros(arrivals.exponential(gap) as i64), None);
             }
-            Some(v) if v != version => continue,
+            Some(scheduled) if scheduled != version => continue,
             Some(_) => {
-                while let Some(id) = node.pop(now) {
-                    // The first tenth is the way into the steady state.
+                while let Some(id) = node.pop_finished(now) {
+                    // The first tenth of the requests is left out: the node is not in its steady state yet.
                     if id > requests / 10 {
-                        total += (now - came[id as usize]).0 as f64;
+                        total += (now - arrived_at[id as usize]).0 as f64;
                         served += 1;
                     }
                 }
             }
         }
         version += 1;
-        if let Some(at) = node.next() {
-            events.at(at, Some(version));
+        if let Some(at) = node.next_event() {
+            events.schedule_at(at, Some(version));
         }
     }
     total / served as f64 / WORK
 }
 
-/// M/M/1 and processor sharing with one core have the mean 1/(1 - load); slots decide which of them it is.
+/// M/M/1 and processor sharing with one core have the mean time 1/(1 - load). With one slot the node is an
+/// M/M/1 queue, with unlimited slots it shares the processor.
 #[test]
-fn one_core_has_the_mean_times_of_theory() {
+fn one_core_has_the_mean_time_of_m_m_1() {
     for load in [0.3, 0.6, 0.8] {
         let theory = 1.0 / (1.0 - load);
         for slots in [1, usize::MAX] {
-            let seen: f64 = (1..=4).map(|seed| mean_time(1.0, slots, load, 60_000, seed)).sum::<f64>() / 4.0;
-            assert!((seen / theory - 1.0).abs() < 0.06, "load {load}, slots {slots}: {seen} for {theory}");
+            let measured: f64 =
+                (1..=4).map(|seed| mean_time(1.0, slots, load, 60_000, seed)).sum::<f64>() / 4.0;
+            assert!(
+                (measured / theory - 1.0).abs() < 0.06,
+                "load {load}, slots {slots}: measured {measured}, theory {theory}"
+            );
         }
     }
 }
 
-/// M/M/c by Erlang's C formula, first come, first served.
+/// The mean time of an M/M/c queue (first come, first served) follows from Erlang's C formula.
 #[test]
-fn several_cores_have_the_mean_times_of_erlang() {
+fn several_cores_have_the_mean_time_of_erlangs_c_formula() {
     for (cores, load) in [(2usize, 0.7), (4, 0.8), (8, 0.5)] {
-        let a = load * cores as f64;
-        let term = |k: usize| (1..=k).fold(1.0, |t, i| t * a / i as f64);
+        let offered_load = load * cores as f64;
+        let term = |k: usize| (1..=k).fold(1.0, |t, i| t * offered_load / i as f64);
         let last = term(cores) / (1.0 - load);
         let wait = last / ((0..cores).map(term).sum::<f64>() + last);
         let theory = 1.0 + wait / (cores as f64 * (1.0 - load));
-        let seen: f64 =
+        let measured: f64 =
             (1..=4).map(|seed| mean_time(cores as f64, cores, load, 60_000, seed)).sum::<f64>() / 4.0;
-        assert!((seen / theory - 1.0).abs() < 0.05, "{cores} cores at {load}: {seen} for {theory}");
+        assert!(
+            (measured / theory - 1.0).abs() < 0.05,
+            "{cores} cores at {load}: measured {measured}, theory {theory}"
+        );
     }
 }
 
 #[test]
-fn work_is_conserved_whatever_is_called_off() {
-    let mut s = Stream::new(5, "conserve", 0);
-    let mut node = Node::new(build(2.0, 4), Micros(0));
-    let (mut now, mut brought, mut next) = (Micros(0), std::collections::BTreeMap::new(), 0);
+fn work_of_a_node_is_conserved_when_requests_are_cancelled() {
+    let mut stream = RandomStream::new(5, "conserve", 0);
+    let mut node = Node::new(node_config(2.0, 4), Micros(0));
+    let (mut now, mut pending, mut next) = (Micros(0), std::collections::BTreeMap::new(), 0);
     let mut finished = 0.0;
     for _ in 0..5_000 {
-        now += Micros(s.exponential(20_000.0) as i64);
-        while let Some(at) = node.next().filter(|&at| at <= now) {
-            while let Some(id) = node.pop(at) {
-                finished += brought.remove(&id).unwrap();
+        now += Micros(stream.exponential(20_000.0) as i64);
+        while let Some(at) = node.next_event().filter(|&at| at <= now) {
+            while let Some(id) = node.pop_finished(at) {
+                finished += pending.remove(&id).unwrap();
             }
         }
-        if s.chance(0.1) && !brought.is_empty() {
-            let ids: Vec<u64> = brought.keys().copied().collect();
-            let id = ids[s.place(ids.len())];
+        if stream.chance(0.1) && !pending.is_empty() {
+            let ids: Vec<u64> = pending.keys().copied().collect();
+            let id = ids[stream.index(ids.len())];
             assert!(node.cancel(now, id));
-            brought.remove(&id);
+            pending.remove(&id);
         } else {
             next += 1;
-            let work = s.exponential(30_000.0);
-            brought.insert(next, work);
-            node.bring(now, next, work);
+            let work = stream.exponential(30_000.0);
+            pending.insert(next, work);
+            node.submit(now, next, work);
         }
-        assert_eq!(node.held(), brought.len());
+        assert_eq!(node.in_flight(), pending.len());
     }
-    // What was called off had some of its work done; nothing else may be missing or too much.
+    // Cancelled requests had part of their work done; apart from that the work done has to match.
     assert!(node.work_done() >= finished - 1.0);
     assert!(node.work_done() <= 2.0 * now.0 as f64 + 1.0);
 }
@@ -156,10 +166,10 @@
 }
 
 #[test]
-fn one_seed_gives_one_day_beside_others_too() {
+fn one_seed_gives_the_same_report_alone_and_beside_other_runs() {
     let world =
         world("[[faults]]\nat = [\"4s\", \"6s\"]\nfor = \"5s\"\nshare = 0.25\nwhat = { slow = [3, 6] }\n");
-    let run = |seed| serde_json::to_string(&day::run(&world, seed, Kind::Module)).unwrap();
+    let run = |seed| serde_json::to_string(&day::run(&world, seed, PolicyKind::Module)).unwrap();
     let alone = [run(1), run(2), run(3), run(4)];
     let beside: Vec<String> = std::thread::scope(|s| {
         let threads: Vec<_> = (1..=4).map(|seed| s.spawn(move || run(seed))).collect();
@@ -169,22 +179,22 @@
     assert_ne!(alone[0], alone[1]);
 }
 
-/// Policies meet the same clients: what is asked does not depend on who answers.
+/// Every policy gets the same clients: the requests do not depend on the policy that handles them.
 #[test]
-fn every_policy_meets_the_same_clients_and_keeps_the_rules() {
+fn every_policy_gets_the_same_requests_and_keeps_the_rules() {
     let world = world("");
-    let reports: Vec<_> = Kind::ALL.iter().map(|&kind| day::run(&world, 7, kind)).collect();
+    let reports: Vec<_> = PolicyKind::ALL.iter().map(|&kind| day::run(&world, 7, kind)).collect();
     for r in &reports {
-        assert!(r.lawful(), "{}", r.text());
+        assert!(r.all_rules_kept(), "{}", r.text());
         assert_eq!(r.all.asked, reports[0].all.asked);
         assert_eq!(r.all.worth_asked, reports[0].all.worth_asked);
         let ends = r.all.in_time + r.all.late + r.all.refused + r.all.failed + r.all.given_up;
-        assert_eq!(ends, r.all.asked, "every request ends once");
+        assert_eq!(ends, r.all.asked, "every request has one outcome");
         assert!(r.service > 0.8, "{}", r.text());
     }
 }
 
-/// Every kind of fault, alone, under the module: rules are kept, and the day goes on.
+/// Under the decision module, every kind of fault alone breaks no rule, and the service continues.
 #[test]
 fn no_fault_breaks_a_rule() {
     let faults = [
@@ -203,21 +213,21 @@
     for fault in faults {
         for lasts in ["6s", "60s"] {
             let text = format!("[[faults]]\nat = \"5s\"\nfor = \"{lasts}\"\nshare = 0.25\nwhat = {fault}\n");
-            let r = day::run(&world(&text), 3, Kind::Module);
-            assert!(r.lawful(), "{fault} for {lasts}\n{}", r.text());
+            let r = day::run(&world(&text), 3, PolicyKind::Module);
+            assert!(r.all_rules_kept(), "{fault} for {lasts}\n{}", r.text());
             assert!(r.service > 0.3, "{fault} for {lasts}\n{}", r.text());
         }
     }
 }
 
 /// A policy that breaks a rule on purpose.
-struct Mutant {
+struct RuleBreakingPolicy {
     inner: Box<dyn Policy>,
     how: &'static str,
     sent: Vec<(RequestId, ServerId)>,
 }
 
-impl Mutant {
+impl RuleBreakingPolicy {
     fn change(&mut self, mut decisions: Vec<Decision>) -> Vec<Decision> {
         for d in &decisions {
             if let Decision::Send { request, upstream, .. } = d {
@@ -225,16 +235,16 @@
             }
         }
         match self.how {
-            "forgets" => decisions.retain(|d| {
+            "drops-decisions" => decisions.retain(|d| {
                 !matches!(d, Decision::Refuse { .. } | Decision::Fail(_) | Decision::Send { .. })
             }),
-            "doubles" => {
+            "duplicates-sends" => {
                 let twice: Vec<_> =
                     decisions.iter().filter(|d| matches!(d, Decision::Send { .. })).cloned().collect();
                 decisions.extend(twice);
             }
-            // One node for everything, also once it is told to be gone.
-            "sticks" => {
+            // Sends everything to one node, also after the balancer was notified of its removal.
+            "always-first-node" => {
                 for d in &mut decisions {
                     if let Decision::Send { upstream, .. } = d {
                         *upstream = ServerId(0);
@@ -247,12 +257,12 @@
     }
 }
 
-impl Policy for Mutant {
+impl Policy for RuleBreakingPolicy {
     fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         let decisions = self.inner.pick(now, ask);
         self.change(decisions)
     }
-    fn report(&mut self, now: Micros, report: News) -> Vec<Decision> {
+    fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
         let decisions = self.inner.report(now, report);
         self.change(decisions)
     }
@@ -266,26 +276,31 @@
 }
 
 #[test]
-fn mutants_of_a_policy_are_caught_in_the_world() {
+fn policies_that_break_rules_are_detected() {
     let restart = "[[faults]]\nat = \"4s\"\nfor = \"3s\"\nshare = 1.0\nwhat = \"restart\"\n";
     let broken = |how, faults: &str| {
-        let shape = &mut |inner| Box::new(Mutant { inner, how, sent: Vec::new() }) as Box<dyn Policy>;
-        let r = day::run_with(&world(faults), 1, Kind::Random, shape);
+        let shape =
+            &mut |inner| Box::new(RuleBreakingPolicy { inner, how, sent: Vec::new() }) as Box<dyn Policy>;
+        let r = day::run_with(&world(faults), 1, PolicyKind::Random, shape);
         let rules: Vec<Rule> = r.broken.iter().filter(|b| b.1 > 0).map(|b| b.0).collect();
         rules
     };
-    assert_eq!(broken("keeps", ""), []);
-    assert_eq!(broken("forgets", ""), [Rule::OneAnswer]);
-    assert!(broken("doubles", "").contains(&Rule::Repeats));
-    assert!(broken("sticks", restart).contains(&Rule::Drained));
-    // All traffic onto a node that has just started.
-    assert!(broken("sticks", "[[faults]]\nat = \"4s\"\nfor = \"1200ms\"\nshare = 1.0\nwhat = \"vanish\"\n")
-        .contains(&Rule::ColdNode));
+    assert_eq!(broken("unchanged", ""), []);
+    assert_eq!(broken("drops-decisions", ""), [Rule::OneAnswer]);
+    assert!(broken("duplicates-sends", "").contains(&Rule::Repeats));
+    assert!(broken("always-first-node", restart).contains(&Rule::Drained));
+    // All requests go to a node that has just started.
+    assert!(broken(
+        "always-first-node",
+        "[[faults]]\nat = \"4s\"\nfor = \"1200ms\"\nshare = 1.0\nwhat = \"vanish\"\n"
+    )
+    .contains(&Rule::ColdNode));
 }
 
-/// A metastable failure: a burst tips clients' retries into an overload that outlives it; refusing in time ends it.
+/// A metastable failure: a burst causes an overload that the clients' retries sustain after the burst.
+/// Refusing requests in time ends the overload.
 #[test]
-fn a_retry_storm_outlives_its_cause_without_admission_and_not_with_it() {
+fn a_retry_storm_persists_without_admission_control_and_ends_with_it() {
     let retries = "retries = { most = 5, wait = \"50ms\", heed_retry_after = false }";
     let text = SMALL
         .replace("lasts = \"20s\"", "lasts = \"40s\"")
@@ -296,35 +311,35 @@
         )
         + "[[faults]]\nat = \"8s\"\nfor = \"4s\"\nwhat = { burst = 4.0 }\n";
     let world = World::parse(&text).unwrap_or_else(|e| panic!("{e}"));
-    let random = day::run(&world, 2, Kind::Random);
-    let module = day::run(&world, 2, Kind::Module);
-    assert!(random.lawful() && module.lawful());
+    let random = day::run(&world, 2, PolicyKind::Random);
+    let module = day::run(&world, 2, PolicyKind::Module);
+    assert!(random.all_rules_kept() && module.all_rules_kept());
     assert!(module.service > random.service + 0.1, "{}\n{}", module.text(), random.text());
     assert!(random.client_amplification > 1.5 && random.service < 0.5, "{}", random.text());
 }
 
 #[test]
-fn arrivals_have_their_moments() {
+fn arrivals_have_the_expected_counts() {
     let count = |arrivals: &str| {
         let text = SMALL
             .replace("lasts = \"20s\"", "lasts = \"200s\"")
             .replace("warm_up = \"2s\"", "warm_up = \"0s\"")
             .replace("rate = 120.0\nretries = { most = 1 }", &format!("rate = 50.0\narrivals = {arrivals}"));
         let world = World::parse(&text).unwrap_or_else(|e| panic!("{e}"));
-        day::run(&world, 11, Kind::Random).all.asked as f64
+        day::run(&world, 11, PolicyKind::Random).all.asked as f64
     };
-    // 10,000 are expected; a Poisson count varies by 100.
+    // 10,000 arrivals are expected; the standard deviation of a Poisson count is 100.
     for arrivals in ["{ kind = \"poisson\" }", "{ kind = \"wave\", period = \"20s\", swing = 0.8 }"] {
         let n = count(arrivals);
         assert!((n - 10_000.0).abs() < 400.0, "{arrivals}: {n}");
     }
     let n = count("{ kind = \"bursty\", factor = 4.0, share = 0.1, last = \"1s\" }");
-    assert!((n - 10_000.0).abs() < 2_000.0, "bursts vary by themselves: {n}");
+    assert!((n - 10_000.0).abs() < 2_000.0, "bursts: {n} arrivals, not 10,000 by 2,000");
     assert_eq!(count("{ kind = \"trace\", at = [\"100ms\", \"200ms\", \"250ms\", \"1s\"] }"), 799.0);
 }
 
 #[test]
-fn worlds_that_make_no_sense_are_refused_by_key() {
+fn invalid_worlds_are_rejected_with_the_key_of_the_error() {
     let refused = |from: &str, to: &str| match World::parse(&SMALL.replacen(from, to, 1)) {
         Ok(_) => String::new(),
         Err(WorldError::Read(e)) => e,
--- a/crates/experiment/src/plan.rs
+++ b/crates/experiment/src/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of an experiment.
 
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use garnettally_emulator::world::World;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     /// Files of worlds, beside the plan.
     worlds: Vec<PathBuf>,
     #[serde(default)]
-    policies: Vec<Kind>,
+    policies: Vec<PolicyKind>,
     #[serde(default = "five")]
     seeds: u64,
     #[serde(default = "one")]
@@ -47,7 +47,7 @@
     /// What runs: worlds under settings.
     pub worlds: Vec<Case>,
     /// The policies; the first is what the others are compared with.
-    pub policies: Vec<Kind>,
+    pub policies: Vec<PolicyKind>,
     /// The seeds.
     pub seeds: Vec<u64>,
 }
@@ -125,7 +125,7 @@
                 cases.push(Case { name, world, hash: xxhash_rust::xxh3::xxh3_64(changed.as_bytes()) });
             }
         }
-        let policies = if text.policies.is_empty() { Kind::ALL.to_vec() } else { text.policies };
+        let policies = if text.policies.is_empty() { PolicyKind::ALL.to_vec() } else { text.policies };
         let seeds = (text.first_seed..text.first_seed + text.seeds).collect();
         Ok(Plan { name: text.name, worlds: cases, policies, seeds })
     }
--- a/crates/experiment/src/publish.rs
+++ b/crates/experiment/src/publish.rs
@@ -3,7 +3,7 @@
 use crate::plan::Plan;
 use crate::run::Row;
 use crate::stats::{mean, paired, Figure, Mean, FIGURES};
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use plotters::coord::ranged1d::{IntoSegmentedCoord, SegmentValue};
 use plotters::prelude::*;
 use std::fmt::Write as _;
@@ -80,9 +80,9 @@
 }
 
 /// References are marked as such wherever they are told.
-fn label(policy: Kind) -> String {
+fn label(policy: PolicyKind) -> String {
     match policy {
-        Kind::Module => "module".into(),
+        PolicyKind::Module => "module".into(),
         other => format!("{} (reference)", other.name()),
     }
 }
@@ -141,7 +141,7 @@
         };
         chart.configure_mesh().disable_x_mesh().x_labels(names.len()).x_label_formatter(&label).draw()?;
         for (i, m) in means.iter().enumerate().filter(|(_, m)| m.mean.is_finite()) {
-            let color = if plan.policies[i] == Kind::Module {
+            let color = if plan.policies[i] == PolicyKind::Module {
                 RGBColor(160, 40, 70)
             } else {
                 RGBColor(110, 130, 150)
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -6,7 +6,7 @@
 
 use crate::plan::Plan;
 use garnettally_emulator::day;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     /// The hash of its world.
     pub hash: u64,
     /// The policy.
-    pub policy: Kind,
+    pub policy: PolicyKind,
     /// The seed.
     pub seed: u64,
     /// Worth earned of what was asked for, 0 to 1.
@@ -51,7 +51,7 @@
     pub events: u64,
 }
 
-fn row(plan: &Plan, cell: (usize, Kind, u64)) -> Row {
+fn row(plan: &Plan, cell: (usize, PolicyKind, u64)) -> Row {
     let (case, policy, seed) = (&plan.worlds[cell.0], cell.1, cell.2);
     let r = day::run(&case.world, seed, policy);
     Row {
@@ -96,7 +96,7 @@
             cells.extend(plan.seeds.iter().map(|&seed| (case, policy, seed)));
         }
     }
-    let key = |c: &(usize, Kind, u64)| (plan.worlds[c.0].hash, c.1, c.2);
+    let key = |c: &(usize, PolicyKind, u64)| (plan.worlds[c.0].hash, c.1, c.2);
     let todo: Vec<_> = cells.iter().filter(|c| !done.contains_key(&key(c))).copied().collect();
     let bar = if show { ProgressBar::new(cells.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} cells, {elapsed} gone, {eta} to go")
--- a/crates/experiment/src/stats.rs
+++ b/crates/experiment/src/stats.rs
@@ -1,7 +1,7 @@
 //! Means over seeds, how sure they are, and differences on the same seeds.
 
 use crate::run::Row;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -61,18 +61,18 @@
     Figure { name: "imbalance", of: |r| r.imbalance, more_is_better: false },
 ];
 
-fn rows<'r>(all: &'r [Row], case: &'r str, policy: Kind) -> impl Iterator<Item = &'r Row> {
+fn rows<'r>(all: &'r [Row], case: &'r str, policy: PolicyKind) -> impl Iterator<Item = &'r Row> {
     all.iter().filter(move |r| r.case == case && r.policy == policy)
 }
 
 /// The mean of a figure for a case and a policy.
-pub fn mean(all: &[Row], case: &str, policy: Kind, f: &Figure) -> Mean {
+pub fn mean(all: &[Row], case: &str, policy: PolicyKind, f: &Figure) -> Mean {
     Mean::of(&rows(all, case, policy).map(f.of).collect::<Vec<_>>())
 }
 
 /// The mean difference of a policy from another on the same seeds: on one seed both meet the same clients, work and
 /// faults, so most of what varies between seeds falls out.
-pub fn paired(all: &[Row], case: &str, policy: Kind, from: Kind, f: &Figure) -> Mean {
+pub fn paired(all: &[Row], case: &str, policy: PolicyKind, from: PolicyKind, f: &Figure) -> Mean {
     let other = |seed| rows(all, case, from).find(|r| r.seed == seed).map(f.of);
     let differences = rows(all, case, policy).filter_map(|r| Some((f.of)(r) - other(r.seed)?));
     Mean::of(&differences.collect::<Vec<_>>())
--- a/crates/experiment/src/stats_tests.rs
+++ b/crates/experiment/src/stats_tests.rs
@@ -31,7 +31,7 @@
         decisions: 0,
         events: 0,
     };
-    let (a, b) = (Kind::Module, Kind::Random);
+    let (a, b) = (PolicyKind::Module, PolicyKind::Random);
     let all = [row(a, 1, 0.9), row(a, 2, 0.5), row(b, 1, 0.8), row(b, 2, 0.4), row(b, 3, 0.1)];
     let d = paired(&all, "c", b, a, &FIGURES[0]);
     assert!((d.mean + 0.1).abs() < 1e-12 && d.half < 1e-9 && d.n == 2, "{d:?}");
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -14,7 +14,7 @@
 
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use garnettally_emulator::draw::Stream;
+use garnettally_emulator::draw::RandomStream;
 use garnettally_emulator::world::World;
 use garnettally_model::Micros;
 use nodes::Place;
@@ -136,9 +136,9 @@
     number: u64,
     keys: FxHashMap<(usize, String), Micros>,
     faults: Vec<(bool, Vec<usize>, f64)>,
-    work: Stream,
-    errors: Stream,
-    list: Stream,
+    work: RandomStream,
+    errors: RandomStream,
+    list: RandomStream,
     seq: u64,
     drained: u64,
     late: Duration,
@@ -184,7 +184,7 @@
     let nodes = (0..world.tiers[0].nodes).map(|n| listen(&handle, Party::Node(n)));
     let addresses =
         Addresses { nodes: nodes.collect::<io::Result<_>>()?, discovery: listen(&handle, Party::Discovery)? };
-    let stream = |purpose| Stream::new(seed, purpose, 0);
+    let stream = |purpose| RandomStream::new(seed, purpose, 0);
     let mut fleet = Fleet {
         names: world.classes.iter().map(|c| c.name.clone()).collect(),
         handle,
--- a/crates/fleet/src/nodes.rs
+++ b/crates/fleet/src/nodes.rs
@@ -1,9 +1,9 @@
 //! The nodes: requests in, work done by the emulator's node, answers out; and what goes wrong with them.
 
 use crate::{Addresses, Due, Fleet, NodeView};
-use garnettally_emulator::draw::Stream;
-use garnettally_emulator::node::{Brought, Build, Node, Thrash};
-use garnettally_emulator::world::{Repeat, What};
+use garnettally_emulator::draw::RandomStream;
+use garnettally_emulator::node::{Admission, Node, NodeConfig, Thrash};
+use garnettally_emulator::world::{FaultKind, Repeat};
 use garnettally_model::{ListedState, Micros};
 use httparse::Status;
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
             ListedState::Ready if self.slow > 1.0 => "slow",
             ListedState::Ready => "ready",
         };
-        NodeView { name: self.name.clone(), held: self.node.held(), answered: self.answered, state }
+        NodeView { name: self.name.clone(), held: self.node.in_flight(), answered: self.answered, state }
     }
 }
 
@@ -104,7 +104,7 @@
 
 impl Fleet {
     pub(crate) fn build(&mut self, seed: u64, addresses: &Addresses) {
-        let mut s = Stream::new(seed, "nodes", 0);
+        let mut s = RandomStream::new(seed, "nodes", 0);
         let tier = self.world.tiers[0].clone();
         let zones = self.world.zones.len();
         for (i, &address) in addresses.nodes.iter().enumerate() {
@@ -114,7 +114,7 @@
                 factor: t.factor.draw(&mut s),
                 calm: t.calm.0,
             });
-            let build = Build {
+            let build = NodeConfig {
                 cores: tier.cores.draw(&mut s),
                 speed: tier.speed.draw(&mut s),
                 slots: tier.slots,
@@ -143,20 +143,23 @@
                 report: (Micros(-1), 0),
             });
         }
-        let mut s = Stream::new(seed, "faults", 0);
+        let mut s = RandomStream::new(seed, "faults", 0);
         for (i, f) in self.world.faults.clone().iter().enumerate() {
             let at = f.at.draw(&mut s);
             let end = at + f.lasts.draw(&mut s);
             let n = ((f.share.draw(&mut s) * tier.nodes as f64).round() as usize).max(1);
-            let nodes = s.some(n, tier.nodes);
+            let nodes = s.sample_indices(n, tier.nodes);
             let size = match &f.what {
-                What::Slow(b) | What::Burst(b) | What::FastErrors(b) | What::Spoilt(b) => b.draw(&mut s),
-                What::LateReports(b) => b.draw(&mut s).0 as f64,
+                FaultKind::Slow(b)
+                | FaultKind::Burst(b)
+                | FaultKind::FastErrors(b)
+                | FaultKind::Spoilt(b) => b.draw(&mut s),
+                FaultKind::LateReports(b) => b.draw(&mut s).0 as f64,
                 _ => 0.0,
             };
             self.faults.push((false, nodes, size));
             // Later tiers are not played, nor are the faults in them.
-            if self.world.tier_of(f) == 0 {
+            if self.world.tier_index(f) == 0 {
                 self.ask(at, Due::Fault(i, true));
                 self.ask(end, Due::Fault(i, false));
             }
@@ -213,10 +216,10 @@
                 self.keys.retain(|_, at| now - *at < longest);
             }
         }
-        let mean = self.world.work(a.class, 0);
+        let mean = self.world.mean_work(a.class, 0);
         let work = a.cost.unwrap_or_else(|| self.world.classes[a.class].shape.draw(mean, &mut self.work));
-        match self.places[n].node.bring(now, job, work) {
-            Brought::Full => {
+        match self.places[n].node.submit(now, job, work) {
+            Admission::Full => {
                 self.reply(id, n, 503, "Srv-Declined: 1\r\n", &a.id, a.head);
                 true
             }
@@ -238,7 +241,7 @@
             Some(r) => {
                 let p = &mut self.places[n];
                 if p.report.0 < Micros(0) || now - p.report.0 >= r.every.0 + r.delay.0 + self.late_reports {
-                    p.report = (now, p.node.held());
+                    p.report = (now, p.node.in_flight());
                 }
                 format!("Srv-Load: TEXT inflight={}\r\n", p.report.1)
             }
@@ -252,7 +255,7 @@
 
     pub(crate) fn work_off(&mut self, n: usize) {
         let now = self.now();
-        while let Some(job) = self.places[n].node.pop(now) {
+        while let Some(job) = self.places[n].node.pop_finished(now) {
             let Some((id, request, bare)) = self.jobs.remove(&job) else { continue };
             if let Some(conn) = self.conns.get_mut(&id) {
                 conn.job = None;
@@ -273,7 +276,7 @@
         let p = &mut self.places[n];
         p.version += 1;
         let version = p.version;
-        if let Some(at) = p.node.next() {
+        if let Some(at) = p.node.next_event() {
             self.ask(at, Due::Node(n, version));
         }
     }
@@ -286,7 +289,7 @@
             let age = (now - from).0 as f64 / t.warm_after.0 .0.max(1) as f64;
             t.cold_share + (1.0 - t.cold_share) * age.clamp(0.0, 1.0)
         });
-        p.node.set_factor(now, if p.hung || p.stopped { 0.0 } else { warmth / p.slow });
+        p.node.set_speed_factor(now, if p.hung || p.stopped { 0.0 } else { warmth / p.slow });
         self.look_after(n);
     }
 
@@ -309,7 +312,7 @@
         }
         self.places[n].stopped = true;
         let now = self.now();
-        self.places[n].node.clear(now);
+        self.places[n].node.remove_all(now);
         let mine: Vec<u64> =
             self.conns.iter().filter(|(_, c)| c.party == crate::Party::Node(n)).map(|(&id, _)| id).collect();
         mine.into_iter().for_each(|id| self.close(id));
@@ -331,27 +334,27 @@
         self.faults[i].0 = begins;
         let (_, nodes, size) = self.faults[i].clone();
         match self.world.faults[i].what.clone() {
-            What::Slow(_) => {
+            FaultKind::Slow(_) => {
                 for n in nodes {
                     self.places[n].slow = if begins { size } else { 1.0 };
                     self.set_speed(n);
                 }
             }
-            What::Hang => {
+            FaultKind::Hang => {
                 for n in nodes {
                     self.places[n].hung = begins;
                     self.set_speed(n);
                 }
             }
-            What::FastErrors(_) => {
+            FaultKind::FastErrors(_) => {
                 nodes.iter().for_each(|&n| self.places[n].fast_errors = if begins { size } else { 0.0 })
             }
-            What::Spoilt(_) => {
+            FaultKind::Spoilt(_) => {
                 nodes.iter().for_each(|&n| self.places[n].spoilt = if begins { size } else { 0.0 })
             }
-            What::LateReports(_) => self.late_reports = Micros(if begins { size as i64 } else { 0 }),
+            FaultKind::LateReports(_) => self.late_reports = Micros(if begins { size as i64 } else { 0 }),
             // On sockets of one machine a node can't go silent without its kernel's answering: it hangs instead.
-            What::Vanish | What::Restart => {
+            FaultKind::Vanish | FaultKind::Restart => {
                 for n in nodes {
                     if begins {
                         self.places[n].draining = true;
@@ -363,7 +366,7 @@
                     }
                 }
             }
-            What::StaleList => {
+            FaultKind::StaleList => {
                 self.stale = begins;
                 if !begins {
                     for (n, state) in std::mem::take(&mut self.held_news) {
@@ -371,13 +374,16 @@
                     }
                 }
             }
-            What::LyingList => {
+            FaultKind::LyingList => {
                 for n in nodes {
                     self.announce(n, if begins { ListedState::Removed } else { ListedState::Ready });
                 }
             }
             // The balancers are processes of their own here: the drill has them die and stand still.
-            What::Burst(_) | What::Partition | What::KillBalancers | What::StopBalancers => {}
+            FaultKind::Burst(_)
+            | FaultKind::Partition
+            | FaultKind::KillBalancers
+            | FaultKind::StopBalancers => {}
         }
     }
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -313,8 +313,11 @@
         let mut out = "| seed | virtual | sockets | late by, ms |\n| --- | --- | --- | --- |\n".to_string();
         let mut means = [0.0; 2];
         for seed in 1..=self.seeds {
-            let day =
-                garnettally_emulator::day::run(&world, seed, garnettally_emulator::policy::Kind::Module);
+            let day = garnettally_emulator::day::run(
+                &world,
+                seed,
+                garnettally_emulator::policy::PolicyKind::Module,
+            );
             let (report, fleet) = round(&world, seed, None, false)?;
             if !fleet.valid || !report.valid {
                 return Err(format!(
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -3,7 +3,7 @@
 use clap::Args;
 use garnettally_drill::Script;
 use garnettally_emulator::day;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use garnettally_emulator::world::World;
 use garnettally_experiment::plan::Plan;
 use garnettally_experiment::{publish, run};
@@ -25,15 +25,15 @@
     seed: u64,
     /// The policy: module, or a reference to compare it with
     #[arg(long, default_value = "module", value_parser = policy)]
-    policy: Kind,
+    policy: PolicyKind,
     /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-fn policy(name: &str) -> Result<Kind, String> {
-    let names = || Kind::ALL.map(Kind::name).join(", ");
-    Kind::ALL.into_iter().find(|k| k.name() == name).ok_or_else(|| format!("there are {}", names()))
+fn policy(name: &str) -> Result<PolicyKind, String> {
+    let names = || PolicyKind::ALL.map(PolicyKind::name).join(", ");
+    PolicyKind::ALL.into_iter().find(|k| k.name() == name).ok_or_else(|| format!("there are {}", names()))
 }
 
 impl Emulate {
@@ -47,7 +47,7 @@
             true => serde_json::to_string_pretty(&report).map_err(|e| e.to_string())? + "\n",
             false => report.text(),
         };
-        if report.lawful() {
+        if report.all_rules_kept() {
             Ok(text)
         } else {
             Err(format!("a rule was broken\n{text}"))
@@ -79,7 +79,7 @@
             .map_err(|e| format!("{out}: {e}"))?;
         publish::publish(&plan, &rows, &self.out).map_err(|e| format!("{out}: {e}"))?;
         // References break rules by their nature (they know no slow start); their breaks stand in the table.
-        let broken: u64 = rows.iter().filter(|r| r.policy == Kind::Module).map(|r| r.broken).sum();
+        let broken: u64 = rows.iter().filter(|r| r.policy == PolicyKind::Module).map(|r| r.broken).sum();
         let text = format!(
             "{}\n{} cells; results.csv, results.md and results.html are in {out}\n",
             publish::markdown(&plan, &rows),
--- a/tests/swamped.rs
+++ b/tests/swamped.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use garnettally_emulator::registry::{RegistryFigures, RegistryLimits, RegistryQueue, Verdict};
+use garnettally_emulator::registry::{CallOutcome, RegistryFigures, RegistryLimits, RegistryQueue};
 use garnettally_model::Micros;
 use socket2::SockRef;
 use std::io::{BufReader, Write};
@@ -24,8 +24,8 @@
 const LIMITS: RegistryLimits = RegistryLimits {
     lines_per_second: 120.0,
     call_lines: 30,
-    wait_most: Micros(2_000_000),
-    backlog_most: Micros(5_000_000),
+    max_wait: Micros(2_000_000),
+    max_backlog: Micros(5_000_000),
 };
 
 /// A call takes 0.13 s, and one of each process 3.9 s.
@@ -92,11 +92,11 @@
         Micros(at.duration_since(self.started).as_micros() as i64)
     }
 
-    fn call(&mut self, now: Instant) -> Verdict {
+    fn call(&mut self, now: Instant) -> CallOutcome {
         let at = self.since_start(now);
         match self.is_busy {
             true => self.queue.call(at, ANSWER_LINES),
-            false => Verdict::Answered { at },
+            false => CallOutcome::Answered { at },
         }
     }
 
@@ -219,13 +219,15 @@
         let mut state = state.lock().unwrap();
         (state.call(Instant::now()), state.started)
     };
-    let (Verdict::Answered { at } | Verdict::Refused { at }) = verdict;
+    let (CallOutcome::Answered { at } | CallOutcome::Refused { at }) = verdict;
     let ends = started + Duration::from_micros(at.0 as u64);
     thread::sleep(ends.saturating_duration_since(Instant::now()));
     match verdict {
-        Verdict::Answered { .. } => state.lock().unwrap().open(process, stream),
+        CallOutcome::Answered { .. } => state.lock().unwrap().open(process, stream),
         // The caller may have gone away.
-        Verdict::Refused { .. } => drop(stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
+        CallOutcome::Refused { .. } => {
+            drop(stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
+        }
     }
 }
 
