--- a/crates/serve/src/admission.rs
+++ b/crates/serve/src/admission.rs
@@ -148,8 +148,8 @@
         let call = http::parse_call(request)?;
         // Among the pools whose settings contain the class, the newest one that is ready serves the request.
         // Until a new pool has its list, the pool of the previous settings serves the classes it has.
-        let has_class = |p: &&crate::pools::Pool| !p.leaving && p.decisions.class(call.class).is_some();
-        let newest_ready = self.pools.iter().filter(has_class).filter(|p| p.ready).last();
+        let has_class = |p: &&crate::pools::Pool| !p.is_retired && p.decisions.class(call.class).is_some();
+        let newest_ready = self.pools.iter().filter(has_class).filter(|p| p.was_ready).last();
         let pool =
             newest_ready.or_else(|| self.pools.iter().filter(has_class).last()).ok_or(HttpError(404))?;
         let (class, effect) = pool.decisions.class(call.class).ok_or(HttpError(404))?;
@@ -239,7 +239,7 @@
             }
             PoolChoice::Failover(list) => {
                 let ids: Vec<PoolId> = list.iter().map(|&p| pool_id(p)).collect();
-                let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.fitness);
+                let fitness = ids.iter().filter_map(|&id| self.pools.get(id)).map(|p| &p.failover);
                 let first = failover::choose_pool(fitness, at, pool_hash).unwrap_or(0);
                 let fallbacks = ids.iter().enumerate().filter(|(i, _)| *i != first).map(|(_, id)| *id);
                 (ids[first], fallbacks.collect())
@@ -250,7 +250,7 @@
                 Some((pinned, until)) => {
                     // Only the pinned pool recognizes a repeat. If that pool was removed, the request has to
                     // wait until the window ends.
-                    if self.pools.get(pinned).is_none_or(|p| p.leaving) {
+                    if self.pools.get(pinned).is_none_or(|p| p.is_retired) {
                         let wait = Duration::from_micros((until - at).0.max(0) as u64);
                         return Err(refused(Some(wait)));
                     }
@@ -263,7 +263,7 @@
             }
         }
         // A pool without nodes can't serve the request; the next pool of the list is chosen at once.
-        let serves = |id: PoolId| self.pools.get(id).is_some_and(|p| p.serves());
+        let serves = |id: PoolId| self.pools.get(id).is_some_and(|p| p.can_serve());
         while !serves(pool) {
             if fallback_pools.is_empty() {
                 return Err(refused(Some(RETRY_AFTER)));
