--- a/crates/emulator/src/day/balancers.rs
+++ b/crates/emulator/src/day/balancers.rs
@@ -38,10 +38,10 @@
             key: Some(KeyId(call.key)),
         };
         let balancer = call.balancer;
-        self.post_to_balancer(now, balancer, Inbox::Request(request));
+        self.post_to_balancer(now, balancer, PolicyInput::Request(request));
     }
 
-    pub(super) fn post_to_balancer(&mut self, now: Micros, balancer: usize, input: Inbox) {
+    pub(super) fn post_to_balancer(&mut self, now: Micros, balancer: usize, input: PolicyInput) {
         self.balancers[balancer].inbox.push(input);
         self.schedule_consultation(balancer, now);
     }
@@ -68,8 +68,8 @@
             self.policy_calls += 1;
             let policy = &mut self.balancers[balancer].policy;
             let (decisions, ended_request) = match input {
-                Inbox::Request(request) => (policy.pick(now, request), None),
-                Inbox::Report(report) => {
+                PolicyInput::Request(request) => (policy.pick(now, request), None),
+                PolicyInput::Report(report) => {
                     let ended_request = match &report {
                         PolicyReport::Ended { request, .. } | PolicyReport::ClientLeft(request) => {
                             Some(request.0)
@@ -166,7 +166,7 @@
                 upstream_in_flight: None,
                 answered,
             };
-            return self.post_to_balancer(now, balancer, Inbox::Report(report));
+            return self.post_to_balancer(now, balancer, PolicyInput::Report(report));
         }
         call.in_flight += 1;
         let (calls, work, tier) = (call.calls, call.work, call.tier);
@@ -330,7 +330,7 @@
             upstream_in_flight: reported_load,
             answered,
         };
-        self.post_to_balancer(now, balancer, Inbox::Report(report));
+        self.post_to_balancer(now, balancer, PolicyInput::Report(report));
     }
 
     pub(super) fn caller_leaves(&mut self, now: Micros, id: u64) {
@@ -341,7 +341,7 @@
         // The balancer has no answer left to give.
         call.answered = true;
         let balancer = call.balancer;
-        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::ClientLeft(RequestId(id))));
+        self.post_to_balancer(now, balancer, PolicyInput::Report(PolicyReport::ClientLeft(RequestId(id))));
     }
 
     /// The load in a node's report at this time; `None` if its tier sends no reports.
--- a/crates/emulator/src/day/clients.rs
+++ b/crates/emulator/src/day/clients.rs
@@ -110,14 +110,14 @@
         let patience_share = world.clients.patience.draw(stream);
         let preferred = stream.index(world.tiers[0].balancers);
         let Some(balancer) = self.accepting_balancer(preferred) else {
-            return self.retry_or_settle(now, id, None, Outcome::Failed);
+            return self.retry_or_settle(now, id, None, RequestOutcome::Failed);
         };
         let client_state = &self.clients[id as usize];
         let patience = Micros((class.deadline.0 .0 as f64 * patience_share) as i64);
         // All tries together have the time of the class's deadline.
         let expires = (now + patience).min(client_state.first_try_at + class.deadline.0);
         if expires <= now {
-            return self.settle(now, id, Outcome::GivenUp);
+            return self.settle(now, id, RequestOutcome::GivenUp);
         }
         let (class, tenant, key, work, calls, repeat) = (
             client_state.class,
@@ -174,9 +174,9 @@
                     FinalAnswer::Failed => Some(None),
                 };
                 let outcome = match answer {
-                    FinalAnswer::Served => Outcome::Served,
-                    FinalAnswer::Refused(_) => Outcome::Refused,
-                    FinalAnswer::Failed => Outcome::Failed,
+                    FinalAnswer::Served => RequestOutcome::Served,
+                    FinalAnswer::Refused(_) => RequestOutcome::Refused,
+                    FinalAnswer::Failed => RequestOutcome::Failed,
                 };
                 match retry_wait {
                     Some(wait) => self.retry_or_settle(now, client, wait, outcome),
@@ -199,7 +199,7 @@
         now: Micros,
         client: u32,
         retry_after: Option<Micros>,
-        outcome: Outcome,
+        outcome: RequestOutcome,
     ) {
         let retries = &self.world.clients.retries;
         let client_state = &self.clients[client as usize];
@@ -215,7 +215,7 @@
         self.events.schedule_after(wait, Event::ClientRetries(client));
     }
 
-    pub(super) fn settle(&mut self, now: Micros, id: u32, outcome: Outcome) {
+    pub(super) fn settle(&mut self, now: Micros, id: u32, outcome: RequestOutcome) {
         let client_state = &mut self.clients[id as usize];
         if std::mem::replace(&mut client_state.settled, true) || !client_state.counted {
             return;
@@ -225,22 +225,22 @@
         let took = now - first;
         let in_time = took <= class_config.aim.0;
         let earned = match outcome {
-            Outcome::Served if in_time => class_config.worth,
-            Outcome::Served => class_config.worth * class_config.late_worth,
+            RequestOutcome::Served if in_time => class_config.worth,
+            RequestOutcome::Served => class_config.worth * class_config.late_worth,
             _ => 0.0,
         };
-        if outcome == Outcome::Served {
+        if outcome == RequestOutcome::Served {
             self.served_latency.saturating_record(took.0.max(1) as u64);
         }
         self.seconds[(first.0 / 1_000_000) as usize].worth_earned += earned;
         for counts in self.totals_of(class, tenant) {
             counts.worth_earned += earned;
             match outcome {
-                Outcome::Served if in_time => counts.in_time += 1,
-                Outcome::Served => counts.late += 1,
-                Outcome::Refused => counts.refused += 1,
-                Outcome::Failed => counts.failed += 1,
-                Outcome::GivenUp => counts.given_up += 1,
+                RequestOutcome::Served if in_time => counts.in_time += 1,
+                RequestOutcome::Served => counts.late += 1,
+                RequestOutcome::Refused => counts.refused += 1,
+                RequestOutcome::Failed => counts.failed += 1,
+                RequestOutcome::GivenUp => counts.given_up += 1,
             }
         }
     }
@@ -260,9 +260,9 @@
         }
         match caller {
             Caller::Client(client) if self.world.clients.retries.after_timeout => {
-                self.retry_or_settle(now, client, None, Outcome::GivenUp);
+                self.retry_or_settle(now, client, None, RequestOutcome::GivenUp);
             }
-            Caller::Client(client) => self.settle(now, client, Outcome::GivenUp),
+            Caller::Client(client) => self.settle(now, client, RequestOutcome::GivenUp),
             Caller::NodeRequest(attempt) => self.next_tier_call_ended(now, attempt, false),
         }
         self.remove_ended_call(id);
--- a/crates/emulator/src/day/end.rs
+++ b/crates/emulator/src/day/end.rs
@@ -23,7 +23,7 @@
         let unsettled: Vec<u32> =
             (0..self.clients.len() as u32).filter(|&c| !self.clients[c as usize].settled).collect();
         let now = self.events.now();
-        unsettled.into_iter().for_each(|c| self.settle(now, c, Outcome::GivenUp));
+        unsettled.into_iter().for_each(|c| self.settle(now, c, RequestOutcome::GivenUp));
         let worst =
             self.seconds.iter().filter(|s| s.worth_asked > 0.0).map(|s| s.worth_earned / s.worth_asked);
         let requests = self.totals.asked.max(1) as f64;
--- a/crates/emulator/src/day/links.rs
+++ b/crates/emulator/src/day/links.rs
@@ -62,7 +62,7 @@
             self.events.schedule_at(at, Event::LinkTimer(from));
         }
         for verdict in step.verdicts {
-            self.post_to_balancer(now, from, Inbox::Report(PolicyReport::PeerVerdict(verdict)));
+            self.post_to_balancer(now, from, PolicyInput::Report(PolicyReport::PeerVerdict(verdict)));
         }
     }
 }
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -181,7 +181,7 @@
     tier: usize,
     zone: usize,
     policy: Box<dyn Policy>,
-    inbox: Vec<Inbox>,
+    inbox: Vec<PolicyInput>,
     /// When the policy is consulted next.
     consult_at: Option<Micros>,
     process: ProcessState,
@@ -202,7 +202,7 @@
 }
 
 /// An input of a balancer's policy.
-enum Inbox {
+enum PolicyInput {
     Request(PickRequest),
     Report(PolicyReport),
 }
@@ -488,7 +488,7 @@
             tier,
             zone,
             policy,
-            inbox: vec![Inbox::Report(PolicyReport::InitialList(known))],
+            inbox: vec![PolicyInput::Report(PolicyReport::InitialList(known))],
             consult_at: Some(Micros(0)),
             process: ProcessState::Running,
             queued_events: Vec::new(),
@@ -640,7 +640,7 @@
 
 /// The outcome of a client's request.
 #[derive(Clone, Copy, PartialEq)]
-enum Outcome {
+enum RequestOutcome {
     Served,
     Refused,
     Failed,
--- a/crates/emulator/src/day/nodes.rs
+++ b/crates/emulator/src/day/nodes.rs
@@ -352,7 +352,7 @@
         self.checker.node_state_notified(now, balancer, node, state == ListedState::Ready);
         let listing = Listing { started_at: since, ..self.listing(node, state) };
         let list = HostList { seq: 2, whole: false, hosts: vec![(listing, None)] };
-        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::List(list)));
+        self.post_to_balancer(now, balancer, PolicyInput::Report(PolicyReport::List(list)));
     }
 
     pub(super) fn deliver_whole_list(&mut self, now: Micros, balancer: usize) {
@@ -367,6 +367,6 @@
                 self.checker.node_state_notified(now, balancer, node, false);
             }
         }
-        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::List(list)));
+        self.post_to_balancer(now, balancer, PolicyInput::Report(PolicyReport::List(list)));
     }
 }
--- a/crates/emulator/src/day/processes.rs
+++ b/crates/emulator/src/day/processes.rs
@@ -112,7 +112,7 @@
         }
         let state = &mut self.balancers[balancer];
         (state.policy, state.process) = (policy, ProcessState::Running);
-        self.post_to_balancer(now, balancer, Inbox::Report(PolicyReport::InitialList(known)));
+        self.post_to_balancer(now, balancer, PolicyInput::Report(PolicyReport::InitialList(known)));
         if let Some(fleet) = &mut self.fleet {
             let due = fleet.start(now, balancer, self.restarts);
             self.events.schedule_at(due, Event::LinkTimer(balancer));
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -26,28 +26,28 @@
 /// A range from which a value is drawn for each node, zone or fault; written as one value, or as an array of
 /// two.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Between<T> {
+pub struct ValueRange<T> {
     /// The lower bound, inclusive.
     pub low: T,
     /// The upper bound; not less than `low`.
     pub high: T,
 }
 
-impl<T: Copy> Between<T> {
+impl<T: Copy> ValueRange<T> {
     /// A range that consists of this value alone.
-    pub fn exactly(value: T) -> Between<T> {
-        Between { low: value, high: value }
+    pub fn exactly(value: T) -> ValueRange<T> {
+        ValueRange { low: value, high: value }
     }
 }
 
-impl Between<f64> {
+impl ValueRange<f64> {
     /// Draws a value, uniformly distributed between the bounds.
     pub fn draw(&self, stream: &mut RandomStream) -> f64 {
         self.low + (self.high - self.low) * stream.unit()
     }
 }
 
-impl Between<Time> {
+impl ValueRange<Time> {
     /// Draws a value, uniformly distributed between the bounds.
     pub fn draw(&self, stream: &mut RandomStream) -> Micros {
         let (low, high) = (self.low.0 .0, self.high.0 .0);
@@ -55,7 +55,7 @@
     }
 }
 
-struct BetweenVisitor<T>(std::marker::PhantomData<T>);
+struct ValueRangeVisitor<T>(std::marker::PhantomData<T>);
 
 trait Bound: Sized + Copy + PartialOrd {
     const EXPECTED: &'static str;
@@ -100,21 +100,21 @@
     }
 }
 
-impl<'de, T: Bound> Visitor<'de> for BetweenVisitor<T> {
-    type Value = Between<T>;
+impl<'de, T: Bound> Visitor<'de> for ValueRangeVisitor<T> {
+    type Value = ValueRange<T>;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(T::EXPECTED)
     }
-    fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Between<T>, E> {
-        T::parse_text(text).map(Between::exactly)
+    fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<ValueRange<T>, E> {
+        T::parse_text(text).map(ValueRange::exactly)
     }
-    fn visit_f64<E: serde::de::Error>(self, n: f64) -> Result<Between<T>, E> {
-        T::parse_number(n).map(Between::exactly)
+    fn visit_f64<E: serde::de::Error>(self, n: f64) -> Result<ValueRange<T>, E> {
+        T::parse_number(n).map(ValueRange::exactly)
     }
-    fn visit_i64<E: serde::de::Error>(self, n: i64) -> Result<Between<T>, E> {
-        T::parse_number(n as f64).map(Between::exactly)
+    fn visit_i64<E: serde::de::Error>(self, n: i64) -> Result<ValueRange<T>, E> {
+        T::parse_number(n as f64).map(ValueRange::exactly)
     }
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Between<T>, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<ValueRange<T>, A::Error> {
         let both = (
             seq.next_element::<SingleValue<T>>()?,
             seq.next_element::<SingleValue<T>>()?,
@@ -122,16 +122,16 @@
         );
         match both {
             (Some(SingleValue(low)), Some(SingleValue(high)), None) if low <= high => {
-                Ok(Between { low, high })
+                Ok(ValueRange { low, high })
             }
             _ => Err(A::Error::custom("an array of two is wanted, the least first")),
         }
     }
 }
 
-impl<'de, T: Bound> Deserialize<'de> for Between<T> {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Between<T>, D::Error> {
-        d.deserialize_any(BetweenVisitor(std::marker::PhantomData))
+impl<'de, T: Bound> Deserialize<'de> for ValueRange<T> {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<ValueRange<T>, D::Error> {
+        d.deserialize_any(ValueRangeVisitor(std::marker::PhantomData))
     }
 }
 
@@ -139,8 +139,8 @@
     Time(Micros(ms * 1_000))
 }
 
-fn millis_range(low: i64, high: i64) -> Between<Time> {
-    Between { low: millis(low), high: millis(high) }
+fn millis_range(low: i64, high: i64) -> ValueRange<Time> {
+    ValueRange { low: millis(low), high: millis(high) }
 }
 
 /// The description of an emulated system: its nodes, balancers, clients and faults.
@@ -193,14 +193,14 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     /// The delay within a zone.
-    pub within: Between<Time>,
+    pub within: ValueRange<Time>,
     /// The delay between two zones.
-    pub between: Between<Time>,
+    pub between: ValueRange<Time>,
 }
 
 impl Default for Network {
     fn default() -> Self {
-        let micros = |low, high| Between { low: Time(Micros(low)), high: Time(Micros(high)) };
+        let micros = |low, high| ValueRange { low: Time(Micros(low)), high: Time(Micros(high)) };
         Network { within: micros(100, 200), between: micros(400, 700) }
     }
 }
@@ -219,10 +219,10 @@
     pub balancers: usize,
     /// The number of cores of a node; above 0.
     #[serde(default = "two_cores")]
-    pub cores: Between<f64>,
+    pub cores: ValueRange<f64>,
     /// The speed of a core, above 0; at speed 1 a core does one second of work in a second.
     #[serde(default = "speed")]
-    pub speed: Between<f64>,
+    pub speed: ValueRange<f64>,
     /// The requests that a node processes at a time, including those that wait for the next tier; 1 at the
     /// least.
     #[serde(default = "slots")]
@@ -271,20 +271,20 @@
     pub pauses: Option<Pauses>,
     /// How the list of the tier's nodes reaches the balancers.
     #[serde(default)]
-    pub list: List,
+    pub list: NodeListSettings,
     /// The load reports that nodes add to their answers. Default: answers carry none.
     #[serde(default)]
-    pub reports: Option<Reports>,
+    pub reports: Option<LoadReportSettings>,
 }
 
 fn one() -> usize {
     1
 }
-fn two_cores() -> Between<f64> {
-    Between::exactly(2.0)
+fn two_cores() -> ValueRange<f64> {
+    ValueRange::exactly(2.0)
 }
-fn speed() -> Between<f64> {
-    Between { low: 0.8, high: 1.25 }
+fn speed() -> ValueRange<f64> {
+    ValueRange { low: 0.8, high: 1.25 }
 }
 fn slots() -> usize {
     32
@@ -329,7 +329,7 @@
     /// How long a node has to be overloaded before it becomes slow.
     pub after: Time,
     /// The divisor of a slow node's speed; 1 or more.
-    pub factor: Between<f64>,
+    pub factor: ValueRange<f64>,
     /// A slow node recovers once it has had no more running requests than cores for this long.
     pub calm: Time,
 }
@@ -341,27 +341,27 @@
     /// The mean time from the end of a pause to the start of the next one; exponentially distributed.
     pub every: Time,
     /// The length of a pause.
-    pub last: Between<Time>,
+    pub last: ValueRange<Time>,
 }
 
 /// How the list of a tier's nodes reaches the balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct List {
+pub struct NodeListSettings {
     /// The time from a change of a node until a balancer receives it, drawn for each balancer.
-    pub delay: Between<Time>,
+    pub delay: ValueRange<Time>,
 }
 
-impl Default for List {
+impl Default for NodeListSettings {
     fn default() -> Self {
-        List { delay: millis_range(200, 1_000) }
+        NodeListSettings { delay: millis_range(200, 1_000) }
     }
 }
 
 /// The load reports in answers, which give the number of requests in flight at a node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Reports {
+pub struct LoadReportSettings {
     /// The interval at which a node measures its load.
     pub every: Time,
     /// The delay of the reports; it is added to the interval between two measurements.
@@ -370,9 +370,9 @@
     pub noise: f64,
 }
 
-impl Default for Reports {
+impl Default for LoadReportSettings {
     fn default() -> Self {
-        Reports { every: millis(1_000), delay: millis(0), noise: 0.0 }
+        LoadReportSettings { every: millis(1_000), delay: millis(0), noise: 0.0 }
     }
 }
 
@@ -461,14 +461,14 @@
     pub arrivals: Arrivals,
     /// The part of the class's deadline after which a client gives up a try.
     #[serde(default = "patience")]
-    pub patience: Between<f64>,
+    pub patience: ValueRange<f64>,
     /// Whether and when clients retry.
     #[serde(default)]
     pub retries: Retries,
 }
 
-fn patience() -> Between<f64> {
-    Between { low: 0.8, high: 1.0 }
+fn patience() -> ValueRange<f64> {
+    ValueRange { low: 0.8, high: 1.0 }
 }
 
 /// The distribution of the arrivals of clients over time.
@@ -580,22 +580,22 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// When the fault begins, from the start of the run.
-    pub at: Between<Time>,
+    pub at: ValueRange<Time>,
     /// How long the fault lasts.
     #[serde(rename = "for")]
-    pub lasts: Between<Time>,
+    pub lasts: ValueRange<Time>,
     /// The name of the tier that the fault affects. Default: the first.
     #[serde(default)]
     pub tier: Option<String>,
     /// The part of the tier's nodes (or balancers) that the fault affects, 0 to 1; one at the least.
     #[serde(default = "some_nodes")]
-    pub share: Between<f64>,
+    pub share: ValueRange<f64>,
     /// The kind of the fault.
     pub what: FaultKind,
 }
 
-fn some_nodes() -> Between<f64> {
-    Between::exactly(0.1)
+fn some_nodes() -> ValueRange<f64> {
+    ValueRange::exactly(0.1)
 }
 
 /// The kind of a fault.
@@ -603,17 +603,17 @@
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// Nodes are slower by this factor; 1 or more.
-    Slow(Between<f64>),
+    Slow(ValueRange<f64>),
     /// Nodes accept requests and answer none.
     Hang,
     /// Nodes answer this part of their requests, 0 to 1, with an error at once.
-    FastErrors(Between<f64>),
+    FastErrors(ValueRange<f64>),
     /// Nodes end this part of their requests, 0 to 1, in an error after doing the work.
-    Spoilt(Between<f64>),
+    Spoilt(ValueRange<f64>),
     /// Load reports of all nodes are delayed by this much more.
-    LateReports(Between<Time>),
+    LateReports(ValueRange<Time>),
     /// The arrival rate of clients is multiplied by this; 1 or more.
-    Burst(Between<f64>),
+    Burst(ValueRange<f64>),
     /// Nodes disappear without closing their connections, and start again at the end, cold.
     Vanish,
     /// Nodes drain for a second, stop, and start again at the end, cold.
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -228,7 +228,7 @@
 }
 
 impl RuleBreakingPolicy {
-    fn change(&mut self, mut decisions: Vec<Decision>) -> Vec<Decision> {
+    fn break_rule(&mut self, mut decisions: Vec<Decision>) -> Vec<Decision> {
         for d in &decisions {
             if let Decision::Send { request, upstream, .. } = d {
                 self.sent.push((*request, *upstream));
@@ -239,9 +239,9 @@
                 !matches!(d, Decision::Refuse { .. } | Decision::Fail(_) | Decision::Send { .. })
             }),
             "duplicates-sends" => {
-                let twice: Vec<_> =
+                let duplicates: Vec<_> =
                     decisions.iter().filter(|d| matches!(d, Decision::Send { .. })).cloned().collect();
-                decisions.extend(twice);
+                decisions.extend(duplicates);
             }
             // Sends everything to one node, also after the balancer was notified of its removal.
             "always-first-node" => {
@@ -260,15 +260,15 @@
 impl Policy for RuleBreakingPolicy {
     fn pick(&mut self, now: Micros, ask: PickRequest) -> Vec<Decision> {
         let decisions = self.inner.pick(now, ask);
-        self.change(decisions)
+        self.break_rule(decisions)
     }
     fn report(&mut self, now: Micros, report: Report) -> Vec<Decision> {
         let decisions = self.inner.report(now, report);
-        self.change(decisions)
+        self.break_rule(decisions)
     }
     fn tick(&mut self, now: Micros) -> Vec<Decision> {
         let decisions = self.inner.tick(now);
-        self.change(decisions)
+        self.break_rule(decisions)
     }
     fn next_tick(&self) -> Option<Micros> {
         self.inner.next_tick()
@@ -279,9 +279,9 @@
 fn policies_that_break_rules_are_detected() {
     let restart = "[[faults]]\nat = \"4s\"\nfor = \"3s\"\nshare = 1.0\nwhat = \"restart\"\n";
     let broken = |how, faults: &str| {
-        let shape =
+        let wrap_policy =
             &mut |inner| Box::new(RuleBreakingPolicy { inner, how, sent: Vec::new() }) as Box<dyn Policy>;
-        let r = day::run_with(&world(faults), 1, PolicyKind::Random, shape);
+        let r = day::run_with(&world(faults), 1, PolicyKind::Random, wrap_policy);
         let rules: Vec<Rule> = r.broken.iter().filter(|b| b.1 > 0).map(|b| b.0).collect();
         rules
     };
