--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,7 +15,7 @@
 
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use garnettally_emulator::draw::Stream;
+use garnettally_emulator::draw::RandomStream;
 use garnettally_emulator::world::World;
 use garnettally_model::Micros;
 use nodes::HostedNode;
@@ -153,11 +153,11 @@
     /// For each fault of the world: whether it is in force, its nodes, and its size.
     faults: Vec<(bool, Vec<usize>, f64)>,
     /// Random draws of the requests' work.
-    work: Stream,
+    work: RandomStream,
     /// Random draws of failures.
-    errors: Stream,
+    errors: RandomStream,
     /// Random draws of the delays of discovery's list.
-    list_delays: Stream,
+    list_delays: RandomStream,
     /// The sequence number of discovery's list.
     seq: u64,
     /// New requests that reached a node too long after its draining was published.
@@ -213,7 +213,7 @@
         nodes: nodes.collect::<io::Result<_>>()?,
         discovery: listen(&handle, Endpoint::Discovery)?,
     };
-    let stream = |purpose| Stream::new(seed, purpose, 0);
+    let stream = |purpose| RandomStream::new(seed, purpose, 0);
     let mut fleet = Fleet {
         class_names: world.classes.iter().map(|c| c.name.clone()).collect(),
         handle,
