--- a/crates/emulator/tests/stale_lists/simulation.rs
+++ b/crates/emulator/tests/stale_lists/simulation.rs
@@ -248,7 +248,7 @@
         let now = self.now();
         self.schedule_request(process);
         let state = &mut self.processes[process];
-        let report = state.decisions.list_standing(now);
+        let report = state.decisions.list_report(now);
         if report.is_some_and(|r| r.freshness == ListFreshness::Unverified && !r.is_started) {
             // The process is not ready, and gets no requests.
             return;
--- a/crates/serve/src/exchange.rs
+++ b/crates/serve/src/exchange.rs
@@ -34,21 +34,21 @@
     /// The caller's identifier of the request.
     id: String,
     pool: PoolId,
-    /// What the pool's decision module is asked.
+    /// The request as it is passed to the pool's decision module.
     pick_request: PickRequest,
     request: Rc<Request>,
     /// The number of attempts started in this pool.
     attempts: u32,
-    /// The number of those attempts that have not ended.
+    /// The number of attempts in this pool that have not ended.
     in_flight: u32,
-    /// The request has had its response, or its client has left.
+    /// Whether the request has had its response, or its client has left.
     concluded: bool,
-    /// An attempt has run, or may have run, on an upstream.
+    /// Whether an attempt has run, or may have run, on an upstream.
     may_have_run: bool,
     /// For how long after an attempt that may have run another may be sent: zero for unsafe classes; `None`:
     /// without limit.
     repeat_within: Option<Duration>,
-    /// When that time ends; `None`: no attempt can have run yet, or there is no limit.
+    /// When the time of `repeat_within` ends; `None`: no attempt can have run yet, or there is no limit.
     repeat_deadline: Option<Instant>,
     /// The pools that may get the request, in order, if this pool refuses it and no attempt can have run.
     fallback_pools: Vec<PoolId>,
@@ -212,7 +212,7 @@
                 .map_or(expires, |by| expires.min(self.net.clock.unix_time(by))),
             cost: admitted.cost.map(micros).filter(|c| c.0 > 0),
             repeat: admitted.repeat,
-            key: admitted.subject,
+            key: admitted.order_key,
         };
         let exchange = Exchange {
             caller,
@@ -269,7 +269,7 @@
             deadline: original.deadline,
             cost: original.cost,
             repeat: original.repeat,
-            subject: original.subject,
+            order_key: original.order_key,
             pool: shadow,
             fallback_pools: Vec::new(),
             route: None,
@@ -516,7 +516,8 @@
             (exchange.request.clone(), exchange.pin, exchange.repeat_within == Some(Duration::ZERO));
         if let Some((key, window)) = pin {
             let now = self.net.clock.unix_time(Instant::now());
-            let several = exchange.route.as_ref().is_some_and(|r| r.route.pools.has_several());
+            let has_several_pools =
+                exchange.route.as_ref().is_some_and(|r| r.route.pools.has_several_pools());
             let pinned = self.pins.record_attempt(now, key, to.pool, now + window);
             if let (Ok(number), Some(exchange)) = (pinned, self.exchanges.open.get_mut(&request)) {
                 exchange.pin_number = number;
@@ -524,7 +525,7 @@
             if pinned.is_err() {
                 // The pin can't be recorded: if the key could go to another pool, the request must not be
                 // sent.
-                if several {
+                if has_several_pools {
                     return self.attempt_ended_unpinned(unsent(Code::ConnectFailed));
                 }
                 if let Some(exchange) = self.exchanges.open.get_mut(&request) {
@@ -615,14 +616,14 @@
         }
     }
 
-    /// The reason for which a request is refused or failed at this time.
+    /// The reason for which a request that gets no response now is refused or fails.
     fn refusal_reason(&self, request: RequestId) -> Option<RefusalReason> {
         let exchange = self.exchanges.open.get(&request)?;
         let now = self.net.clock.unix_time(Instant::now());
-        let standing = self.pools.get(exchange.pool).and_then(|p| p.decisions.list_standing(now));
-        Some(match standing {
+        let list_report = self.pools.get(exchange.pool).and_then(|p| p.decisions.list_report(now));
+        Some(match list_report {
             _ if exchange.attempts + exchange.earlier_attempts > 0 => RefusalReason::AttemptsFailed,
-            Some(s) if s.freshness == ListFreshness::Stale => RefusalReason::StaleList,
+            Some(report) if report.freshness == ListFreshness::Stale => RefusalReason::StaleList,
             _ => RefusalReason::NoRoom,
         })
     }
