--- a/crates/experiment/src/plan.rs
+++ b/crates/experiment/src/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of an experiment.
 
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use garnettally_emulator::world::World;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
     worlds: Vec<PathBuf>,
     /// The policies; the others are compared with the first. Default: all.
     #[serde(default)]
-    policies: Vec<Kind>,
+    policies: Vec<PolicyKind>,
     /// The number of seeds, 1 to 10000. Default: 5.
     #[serde(default = "five")]
     seeds: u64,
@@ -54,7 +54,7 @@
     /// The worlds, each under each set of changes.
     pub cases: Vec<Case>,
     /// The policies; the others are compared with the first.
-    pub policies: Vec<Kind>,
+    pub policies: Vec<PolicyKind>,
     /// The seeds with which each case and policy runs.
     pub seeds: Vec<u64>,
 }
@@ -133,7 +133,7 @@
                 cases.push(Case { name, world, hash: xxhash_rust::xxh3::xxh3_64(changed.as_bytes()) });
             }
         }
-        let policies = if plan.policies.is_empty() { Kind::ALL.to_vec() } else { plan.policies };
+        let policies = if plan.policies.is_empty() { PolicyKind::ALL.to_vec() } else { plan.policies };
         let seeds = (plan.first_seed..plan.first_seed + plan.seeds).collect();
         Ok(Plan { name: plan.name, cases, policies, seeds })
     }
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -6,7 +6,7 @@
 
 use crate::plan::Plan;
 use garnettally_emulator::day;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     /// The hash of the case's world.
     pub hash: u64,
     /// The policy of the run.
-    pub policy: Kind,
+    pub policy: PolicyKind,
     /// The seed of the run.
     pub seed: u64,
     /// The worth of the requests served, as a share of the worth of all requests; 0 to 1.
@@ -52,7 +52,7 @@
 }
 
 /// Runs a cell, which is the index of a case, a policy and a seed.
-fn run_cell(plan: &Plan, cell: (usize, Kind, u64)) -> Row {
+fn run_cell(plan: &Plan, cell: (usize, PolicyKind, u64)) -> Row {
     let (case, policy, seed) = (&plan.cases[cell.0], cell.1, cell.2);
     let report = day::run(&case.world, seed, policy);
     Row {
@@ -98,7 +98,7 @@
             cells.extend(plan.seeds.iter().map(|&seed| (case, policy, seed)));
         }
     }
-    let key = |c: &(usize, Kind, u64)| (plan.cases[c.0].hash, c.1, c.2);
+    let key = |c: &(usize, PolicyKind, u64)| (plan.cases[c.0].hash, c.1, c.2);
     let todo: Vec<_> = cells.iter().filter(|c| !done.contains_key(&key(c))).copied().collect();
     let bar = if show { ProgressBar::new(cells.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) =
--- a/crates/fleet/src/nodes.rs
+++ b/crates/fleet/src/nodes.rs
@@ -2,9 +2,9 @@
 //! faults.
 
 use crate::{Addresses, Event, Fleet, NodeView};
-use garnettally_emulator::draw::Stream;
-use garnettally_emulator::node::{Brought, Build, Node, Thrash};
-use garnettally_emulator::world::{Repeat, What};
+use garnettally_emulator::draw::RandomStream;
+use garnettally_emulator::node::{Admission, Node, NodeConfig, Thrash};
+use garnettally_emulator::world::{FaultKind, Repeat};
 use garnettally_model::{ListedState, Micros};
 use httparse::Status;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
             ListedState::Ready if self.slowdown > 1.0 => "slow",
             ListedState::Ready => "ready",
         };
-        NodeView { name: self.name.clone(), held: self.emulated.held(), answered: self.answered, state }
+        NodeView { name: self.name.clone(), held: self.emulated.in_flight(), answered: self.answered, state }
     }
 }
 
@@ -133,7 +133,7 @@
 impl Fleet {
     /// Makes the nodes of the first tier, and schedules the world's faults.
     pub(crate) fn build_nodes(&mut self, seed: u64, addresses: &Addresses) {
-        let mut draws = Stream::new(seed, "nodes", 0);
+        let mut draws = RandomStream::new(seed, "nodes", 0);
         let tier = self.world.tiers[0].clone();
         let zones = self.world.zones.len();
         for (i, &address) in addresses.nodes.iter().enumerate() {
@@ -143,7 +143,7 @@
                 factor: thrash.factor.draw(&mut draws),
                 calm: thrash.calm.0,
             });
-            let build = Build {
+            let build = NodeConfig {
                 cores: tier.cores.draw(&mut draws),
                 speed: tier.speed.draw(&mut draws),
                 slots: tier.slots,
@@ -172,22 +172,23 @@
                 report: (Micros(-1), 0),
             });
         }
-        let mut draws = Stream::new(seed, "faults", 0);
+        let mut draws = RandomStream::new(seed, "faults", 0);
         for (i, fault) in self.world.faults.clone().iter().enumerate() {
             let at = fault.at.draw(&mut draws);
             let end = at + fault.lasts.draw(&mut draws);
             let count = ((fault.share.draw(&mut draws) * tier.nodes as f64).round() as usize).max(1);
-            let nodes = draws.some(count, tier.nodes);
+            let nodes = draws.sample_indices(count, tier.nodes);
             let size = match &fault.what {
-                What::Slow(size) | What::Burst(size) | What::FastErrors(size) | What::Spoilt(size) => {
-                    size.draw(&mut draws)
-                }
-                What::LateReports(size) => size.draw(&mut draws).0 as f64,
+                FaultKind::Slow(size)
+                | FaultKind::Burst(size)
+                | FaultKind::FastErrors(size)
+                | FaultKind::Spoilt(size) => size.draw(&mut draws),
+                FaultKind::LateReports(size) => size.draw(&mut draws).0 as f64,
                 _ => 0.0,
             };
             self.faults.push((false, nodes, size));
             // Later tiers are not emulated here, nor are the faults in them.
-            if self.world.tier_of(fault) == 0 {
+            if self.world.tier_index(fault) == 0 {
                 self.schedule(at, Event::Fault(i, true));
                 self.schedule(end, Event::Fault(i, false));
             }
@@ -245,12 +246,12 @@
                 self.idempotency_keys.retain(|_, at| now - *at < longest);
             }
         }
-        let mean = self.world.work(request.class, 0);
+        let mean = self.world.mean_work(request.class, 0);
         let work = request
             .cost
             .unwrap_or_else(|| self.world.classes[request.class].shape.draw(mean, &mut self.work));
-        match self.nodes[index].emulated.bring(now, job, work) {
-            Brought::Full => {
+        match self.nodes[index].emulated.submit(now, job, work) {
+            Admission::Full => {
                 self.respond(id, index, 503, "Srv-Declined: 1\r\n", &request.id, request.is_head);
                 true
             }
@@ -275,7 +276,7 @@
                 if node.report.0 < Micros(0)
                     || now - node.report.0 >= reports.every.0 + reports.delay.0 + self.report_delay
                 {
-                    node.report = (now, node.emulated.held());
+                    node.report = (now, node.emulated.in_flight());
                 }
                 format!("Srv-Load: TEXT inflight={}\r\n", node.report.1)
             }
@@ -290,7 +291,7 @@
     /// Sends the responses of the jobs that a node has finished by now.
     pub(crate) fn finish_jobs(&mut self, index: usize) {
         let now = self.now();
-        while let Some(job) = self.nodes[index].emulated.pop(now) {
+        while let Some(job) = self.nodes[index].emulated.pop_finished(now) {
             let Some((id, request, is_head)) = self.jobs.remove(&job) else { continue };
             if let Some(connection) = self.connections.get_mut(&id) {
                 connection.job = None;
@@ -312,7 +313,7 @@
         let node = &mut self.nodes[index];
         node.version += 1;
         let version = node.version;
-        if let Some(at) = node.emulated.next() {
+        if let Some(at) = node.emulated.next_event() {
             self.schedule(at, Event::JobEnds(index, version));
         }
     }
@@ -326,7 +327,8 @@
             let age = (now - from).0 as f64 / tier.warm_after.0 .0.max(1) as f64;
             tier.cold_share + (1.0 - tier.cold_share) * age.clamp(0.0, 1.0)
         });
-        node.emulated.set_factor(now, if node.hung || node.stopped { 0.0 } else { warmth / node.slowdown });
+        node.emulated
+            .set_speed_factor(now, if node.hung || node.stopped { 0.0 } else { warmth / node.slowdown });
         self.schedule_next_job_end(index);
     }
 
@@ -351,7 +353,7 @@
         }
         self.nodes[index].stopped = true;
         let now = self.now();
-        self.nodes[index].emulated.clear(now);
+        self.nodes[index].emulated.remove_all(now);
         let connections: Vec<u64> = self
             .connections
             .iter()
@@ -379,28 +381,28 @@
         self.faults[fault].0 = begins;
         let (_, nodes, size) = self.faults[fault].clone();
         match self.world.faults[fault].what.clone() {
-            What::Slow(_) => {
+            FaultKind::Slow(_) => {
                 for n in nodes {
                     self.nodes[n].slowdown = if begins { size } else { 1.0 };
                     self.update_speed(n);
                 }
             }
-            What::Hang => {
+            FaultKind::Hang => {
                 for n in nodes {
                     self.nodes[n].hung = begins;
                     self.update_speed(n);
                 }
             }
-            What::FastErrors(_) => {
+            FaultKind::FastErrors(_) => {
                 nodes.iter().for_each(|&n| self.nodes[n].fast_errors = if begins { size } else { 0.0 })
             }
-            What::Spoilt(_) => {
+            FaultKind::Spoilt(_) => {
                 nodes.iter().for_each(|&n| self.nodes[n].malformed = if begins { size } else { 0.0 })
             }
-            What::LateReports(_) => self.report_delay = Micros(if begins { size as i64 } else { 0 }),
+            FaultKind::LateReports(_) => self.report_delay = Micros(if begins { size as i64 } else { 0 }),
             // The kernel of this machine answers for sockets of a node that vanishes, so that a node can't
             // disappear without a trace; it drains and stops instead.
-            What::Vanish | What::Restart => {
+            FaultKind::Vanish | FaultKind::Restart => {
                 for n in nodes {
                     if begins {
                         self.nodes[n].draining = true;
@@ -412,7 +414,7 @@
                     }
                 }
             }
-            What::StaleList => {
+            FaultKind::StaleList => {
                 self.list_is_stale = begins;
                 if !begins {
                     for (n, state) in std::mem::take(&mut self.withheld_changes) {
@@ -420,7 +422,7 @@
                     }
                 }
             }
-            What::LyingList => {
+            FaultKind::LyingList => {
                 for n in nodes {
                     self.schedule_publication(
                         n,
@@ -429,7 +431,10 @@
                 }
             }
             // Balancers are processes of their own here; killing and stopping them is the drill's task.
-            What::Burst(_) | What::Partition | What::KillBalancers | What::StopBalancers => {}
+            FaultKind::Burst(_)
+            | FaultKind::Partition
+            | FaultKind::KillBalancers
+            | FaultKind::StopBalancers => {}
         }
     }
 }
--- a/crates/serve/src/fleet.rs
+++ b/crates/serve/src/fleet.rs
@@ -456,7 +456,7 @@
             warn!(log, "a member is down"; "member" => &m.name, "address" => %m.address, "alive" => alive)
         }
         Event::MemberRenewed(_, m) => {
-            info!(log, "a member has restarted or has joined the fleet anew"; "member" => &m.name, "address" => %m.address,
+            info!(log, "a member has a new life"; "member" => &m.name, "address" => %m.address,
                 "generation" => m.generation)
         }
         Event::Rejoined(_) => warn!(log, "was taken to be dead, and has joined anew"),
