--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -11,17 +11,17 @@
 #[test]
 fn a_request_and_its_answer_pass_unchanged() {
     let up = Upstream::start(|_| {
-        Reply::Bytes(b"HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=1, util=0.2\r\nX-Kept: yes\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n".to_vec())
+        Reply::Send(b"HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=1, util=0.2\r\nX-Kept: yes\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n".to_vec())
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
-    let request = book("2.5", "a body\r\n");
-    let answer = client.ask(&request);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
+    let request = book_request("2.5", "a body\r\n");
+    let answer = client.request(&request);
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"abcde"[..]));
     assert_eq!(answer.header("x-kept"), Some("yes"));
-    let got = up.got.lock().unwrap()[0].clone();
-    assert_eq!(got.start, "POST /book?key=91f03b7c55d20a64 HTTP/1.1");
+    let got = up.received.lock().unwrap()[0].clone();
+    assert_eq!(got.start_line, "POST /book?key=91f03b7c55d20a64 HTTP/1.1");
     assert_eq!(got.body, b"a body\r\n");
     assert_eq!(got.header("idempotency-key"), Some("5c0f6e1a"));
     assert!(request.contains(&format!("Req-Id: {}\r\n", got.header("req-id").unwrap())));
@@ -29,9 +29,9 @@
     assert!(left > 0.0 && left <= 2.5, "{left}");
     // Both connections serve the next request, too, once the upstream's has rested.
     std::thread::sleep(Duration::from_millis(40));
-    let answer = client.ask(&look("1.2"));
-    assert_eq!((answer.status(), up.opened.load(Ordering::SeqCst)), (200, 1));
-    assert_eq!(up.got.lock().unwrap()[1].start, "GET /look/part?key=91f03b7c55d20a64&x=1 HTTP/1.1");
+    let answer = client.request(&look_request("1.2"));
+    assert_eq!((answer.status(), up.connections_opened.load(Ordering::SeqCst)), (200, 1));
+    assert_eq!(up.received.lock().unwrap()[1].start_line, "GET /look/part?key=91f03b7c55d20a64&x=1 HTTP/1.1");
 }
 
 /// Guards against load reports that are passed over: upstreams wrote `rif`, and only `inflight` was read.
@@ -42,26 +42,32 @@
             let answer = format!(
                 "HTTP/1.1 200 OK\r\nSrv-Load: TEXT busy=0.5, {name}={load}\r\nContent-Length: 0\r\n\r\n"
             );
-            Upstream::start(move |_| Reply::Bytes(answer.clone().into_bytes()))
+            Upstream::start(move |_| Reply::Send(answer.clone().into_bytes()))
         };
         let (loaded, free) = (reporting(60), reporting(0));
         let discovery = Discovery::start();
-        let hosts = [host("l", loaded.address, 0, "SERVING"), host("f", free.address, 0, "SERVING")];
+        let hosts =
+            [host_entry("l", loaded.address, 0, "SERVING"), host_entry("f", free.address, 0, "SERVING")];
         let b = Balancer::start(&discovery, &hosts);
-        let mut client = b.client();
+        let mut client = b.connect();
         for _ in 0..100 {
-            assert_eq!(client.ask(&look("1.2")).status(), 200);
+            assert_eq!(client.request(&look_request("1.2")).status(), 200);
         }
-        assert!(free.count() > 2 * loaded.count(), "{name}: {} to {}", free.count(), loaded.count());
+        assert!(
+            free.request_count() > 2 * loaded.request_count(),
+            "{name}: {} to {}",
+            free.request_count(),
+            loaded.request_count()
+        );
     }
 }
 
 /// Guards against a panic, which ends the process, and against a connection read on in the wrong place.
 #[test]
 fn bad_input_is_answered_and_the_connection_closed() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let head = "Host: a\r\nReq-Id: 1\r\nReq-Deadline: 1\r\n";
     let keyed = format!("{head}Idempotency-Key: 1\r\n");
     let long = "a".repeat(20_000);
@@ -87,26 +93,26 @@
         (431, format!("GET /look HTTP/1.1\r\n{head}X: {long}\r\n\r\n")),
     ];
     for (status, text) in cases {
-        let mut client = b.client();
-        assert_eq!(client.ask(&text).status(), status, "{text:.80}");
-        assert!(client.answer().is_none(), "still open after {text:.80}");
+        let mut client = b.connect();
+        assert_eq!(client.request(&text).status(), status, "{text:.80}");
+        assert!(client.read_answer().is_none(), "still open after {text:.80}");
     }
-    assert_eq!(up.count(), 0);
-    assert_eq!(b.ask(&look("1.2")).status(), 200);
+    assert_eq!(up.request_count(), 0);
+    assert_eq!(b.request(&look_request("1.2")).status(), 200);
 }
 
 /// Guards against a second effect: once an attempt may have run, a keyed request stays in its cell.
 #[test]
 fn a_keyed_request_is_repeated_in_its_cell_alone() {
-    let cut = |_: &Message| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec());
+    let cut = |_: &Message| Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec());
     let ups = [Upstream::start(cut), Upstream::start(cut), Upstream::start(cut), Upstream::start(cut)];
     let hosts: Vec<_> =
-        (0..4).map(|i| host(&format!("s{i}"), ups[i].address, i as u32 / 2, "SERVING")).collect();
+        (0..4).map(|i| host_entry(&format!("s{i}"), ups[i].address, i as u32 / 2, "SERVING")).collect();
     let discovery = Discovery::start();
     let b = Balancer::start(&discovery, &hosts);
-    let answer = b.ask(&book("3", "x"));
+    let answer = b.request(&book_request("3", "x"));
     assert_eq!(answer.status(), 502, "it may have run: no refusal");
-    let counts: Vec<_> = ups.iter().map(Upstream::count).collect();
+    let counts: Vec<_> = ups.iter().map(Upstream::request_count).collect();
     assert!(counts[0] + counts[1] == 0 || counts[2] + counts[3] == 0, "{counts:?}");
     assert!(counts.iter().sum::<usize>() > 1, "{counts:?}");
 }
@@ -116,44 +122,44 @@
 fn what_never_ran_is_tried_elsewhere() {
     let declined = AtomicBool::new(false);
     let good = Upstream::start(move |_| match declined.swap(true, Ordering::SeqCst) {
-        false => error(503, "Srv-Declined: 1\r\n"),
-        true => ok("served"),
+        false => error_reply(503, "Srv-Declined: 1\r\n"),
+        true => ok_reply("served"),
     });
     let nobody = free_address();
     let discovery = Discovery::start();
-    let hosts = [host("g", good.address, 0, "SERVING"), host("n", nobody, 1, "SERVING")];
+    let hosts = [host_entry("g", good.address, 0, "SERVING"), host_entry("n", nobody, 1, "SERVING")];
     let b = Balancer::start(&discovery, &hosts);
-    let answer = b.ask(&book("3", "x"));
-    assert_eq!((answer.status(), &answer.body[..], good.count()), (200, &b"served"[..], 2));
+    let answer = b.request(&book_request("3", "x"));
+    assert_eq!((answer.status(), &answer.body[..], good.request_count()), (200, &b"served"[..], 2));
 }
 
 /// Guards against a hung upstream: no reset tells of it, and the client must have its answer in time.
 #[test]
 fn silence_ends_with_an_answer_in_time_and_a_closed_connection() {
-    let up = Upstream::start(|_| Reply::Silence);
+    let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let start = Instant::now();
-    let answer = b.ask(&look("0.6"));
-    assert!(matches!(answer.status(), 502 | 503), "{}", answer.start);
+    let answer = b.request(&look_request("0.6"));
+    assert!(matches!(answer.status(), 502 | 503), "{}", answer.start_line);
     // Well before the class's own limit, on a slow machine too.
     assert!(start.elapsed() < Duration::from_millis(1400), "{:?}", start.elapsed());
-    until("the attempt's connection closed", || {
-        up.ended.load(Ordering::SeqCst) == up.opened.load(Ordering::SeqCst)
+    wait_until("the attempt's connection closed", || {
+        up.connections_ended.load(Ordering::SeqCst) == up.connections_opened.load(Ordering::SeqCst)
     });
 }
 
 /// Guards against work for nobody: the attempt of a client that left is called off.
 #[test]
 fn a_client_that_leaves_takes_its_attempt_along() {
-    let up = Upstream::start(|_| Reply::Silence);
+    let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
-    client.send(&book("6", "x"));
-    until("the attempt", || up.count() == 1);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
+    client.send(&book_request("6", "x"));
+    wait_until("the attempt", || up.request_count() == 1);
     client.stream.shutdown(Shutdown::Both).unwrap();
-    until("its end", || up.ended.load(Ordering::SeqCst) == 1);
+    wait_until("its end", || up.connections_ended.load(Ordering::SeqCst) == 1);
 }
 
 /// Guards against nonsense from upstreams: a failed attempt, not a crash, and never an answer half made up.
@@ -166,24 +172,25 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n".to_vec(),
     ];
     for bytes in bad {
-        let up = Upstream::start(move |_| Reply::Last(bytes.clone()));
+        let up = Upstream::start(move |_| Reply::SendAndClose(bytes.clone()));
         let discovery = Discovery::start();
-        let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-        assert!(matches!(b.ask(&look("1")).status(), 502 | 503));
-        assert_eq!(b.ask(READY).status(), 200);
+        let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+        assert!(matches!(b.request(&look_request("1")).status(), 502 | 503));
+        assert_eq!(b.request(READY_REQUEST).status(), 200);
     }
 }
 
 /// Guards against a reset on the next request: a pooled connection that its upstream closed is dropped.
 #[test]
 fn a_closed_connection_leaves_the_pool() {
-    let up = Upstream::start(|_| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".to_vec()));
+    let up =
+        Upstream::start(|_| Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".to_vec()));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     for n in 1..4 {
-        assert_eq!(b.ask(&book("3", "x")).status(), 200);
-        assert_eq!(up.count(), n, "sent once each");
-        until("the upstream's close", || up.ended.load(Ordering::SeqCst) == n as u32);
+        assert_eq!(b.request(&book_request("3", "x")).status(), 200);
+        assert_eq!(up.request_count(), n, "sent once each");
+        wait_until("the upstream's close", || up.connections_ended.load(Ordering::SeqCst) == n as u32);
         // The close is on its way through the kernel for a moment yet.
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -191,51 +198,52 @@
 
 #[test]
 fn discovery_is_watched_in_pieces_and_again_after_nonsense() {
-    let (first, second) = (Upstream::start(|_| ok("first")), Upstream::start(|_| ok("second")));
+    let (first, second) = (Upstream::start(|_| ok_reply("first")), Upstream::start(|_| ok_reply("second")));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s1", first.address, 0, "SERVING")]);
-    let (asked, mut watch) = discovery.watch();
+    let b = Balancer::start(&discovery, &[host_entry("s1", first.address, 0, "SERVING")]);
+    let (asked, mut watch) = discovery.next_watch();
     assert!(asked.starts_with("GET /v1/endpoints?stream=1&index=7 "), "{asked}");
     // Chunks split and join lines: one list in three pieces, with an empty line before and after.
-    let entries = [host("s1", first.address, 0, "DRAINING"), host("s2", second.address, 0, "SERVING")];
-    let line = format!("\n{}\n\n", list(8, false, &entries));
+    let entries =
+        [host_entry("s1", first.address, 0, "DRAINING"), host_entry("s2", second.address, 0, "SERVING")];
+    let line = format!("\n{}\n\n", host_list(8, false, &entries));
     let (a, rest) = line.split_at(40);
     let (c, d) = rest.split_at(100);
-    [a, c, d].iter().for_each(|piece| watch.chunk(piece));
-    until("the draining host gets nothing", || {
-        let before = first.count();
-        let answer = b.ask(&look("1.2"));
-        answer.body == b"second" && first.count() == before
+    [a, c, d].iter().for_each(|piece| watch.write_chunk(piece));
+    wait_until("the draining host gets nothing", || {
+        let before = first.request_count();
+        let answer = b.request(&look_request("1.2"));
+        answer.body == b"second" && first.request_count() == before
     });
-    (0..20).for_each(|_| assert_eq!(b.ask(&look("1.2")).body, b"second"));
-    watch.chunk("{\"seq\": nonsense}\n");
-    until("its end", || watch.ended());
-    let (asked, _watch) = discovery.watch();
+    (0..20).for_each(|_| assert_eq!(b.request(&look_request("1.2")).body, b"second"));
+    watch.write_chunk("{\"seq\": nonsense}\n");
+    wait_until("its end", || watch.is_ended());
+    let (asked, _watch) = discovery.next_watch();
     assert!(asked.contains("index=8 "), "{asked}");
 }
 
 /// Guards against a watch that died without a word: an empty line comes every 2 s, or it is dead.
 #[test]
 fn a_silent_watch_is_given_up() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let _b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let (_, mut watch) = discovery.watch();
-    watch.chunk("\n");
+    let _b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let (_, mut watch) = discovery.next_watch();
+    watch.write_chunk("\n");
     let start = Instant::now();
-    let (_, _again) = discovery.watch();
+    let (_, _again) = discovery.next_watch();
     assert!(start.elapsed() > Duration::from_secs(3), "a live watch was dropped");
-    until("the first one's end", || watch.ended());
+    wait_until("the first one's end", || watch.is_ended());
 }
 
 /// Guards against dying of EMFILE and against idle callers that lock others out.
 #[test]
 fn idle_callers_make_room() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-    let mut clients: Vec<_> = (0..120).map(|_| b.client()).collect();
-    assert_eq!(clients.last_mut().unwrap().ask(&look("1.2")).status(), 200);
+    let b = Balancer::start_with_sockets(&discovery, &[host_entry("s", up.address, 0, "SERVING")], 64);
+    let mut clients: Vec<_> = (0..120).map(|_| b.connect()).collect();
+    assert_eq!(clients.last_mut().unwrap().request(&look_request("1.2")).status(), 200);
     let mut first = clients.remove(0);
     assert_eq!(first.stream.read(&mut [0; 1]).unwrap(), 0, "the oldest idle one was closed");
 }
@@ -245,18 +253,18 @@
 #[test]
 fn requests_in_the_kernel_are_taken() {
     for signals in [&["CONT"][..], &["TERM", "CONT"][..]] {
-        let up = Upstream::start(|_| ok("x"));
+        let up = Upstream::start(|_| ok_reply("x"));
         let discovery = Discovery::start();
-        let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-        let mut clients: Vec<_> = (0..10).map(|_| b.client()).collect();
-        clients.iter_mut().for_each(|c| assert_eq!(c.ask(&look("1.2")).status(), 200));
+        let b = Balancer::start_with_sockets(&discovery, &[host_entry("s", up.address, 0, "SERVING")], 64);
+        let mut clients: Vec<_> = (0..10).map(|_| b.connect()).collect();
+        clients.iter_mut().for_each(|c| assert_eq!(c.request(&look_request("1.2")).status(), 200));
         b.signal("STOP");
-        clients.extend((0..50).map(|_| b.client()));
-        clients.iter_mut().for_each(|c| c.send(&book("6", "x")));
+        clients.extend((0..50).map(|_| b.connect()));
+        clients.iter_mut().for_each(|c| c.send(&book_request("6", "x")));
         signals.iter().for_each(|s| b.signal(s));
         clients
             .iter_mut()
-            .for_each(|c| assert!(matches!(c.answer().expect("an answer").status(), 200 | 503)));
+            .for_each(|c| assert!(matches!(c.read_answer().expect("an answer").status(), 200 | 503)));
     }
 }
 
@@ -264,26 +272,26 @@
 #[test]
 fn sigterm_is_survived_by_what_was_taken() {
     let up = Upstream::start(|m| {
-        std::thread::sleep(Duration::from_millis(if m.start.contains("book") { 1500 } else { 0 }));
-        ok("x")
+        std::thread::sleep(Duration::from_millis(if m.start_line.contains("book") { 1500 } else { 0 }));
+        ok_reply("x")
     });
     let discovery = Discovery::start();
-    let mut b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    let mut slow = b.client();
-    slow.send(&book("5", "x"));
-    until("the slow attempt", || up.count() == 2);
+    let mut b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut kept = b.connect();
+    assert_eq!(kept.request(&look_request("1.2")).status(), 200);
+    let mut slow = b.connect();
+    slow.send(&book_request("5", "x"));
+    wait_until("the slow attempt", || up.request_count() == 2);
     b.signal("TERM");
     // New and kept connections are served for a while yet: clients use them for as long as they are open, and
     // those of a zone with one balancer have nowhere else to go.
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(b.ask(&look("1.2")).status(), 200);
+    assert_eq!(b.request(&look_request("1.2")).status(), 200);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    assert_eq!(slow.answer().expect("an answer").status(), 200);
-    assert!(b.wait().success());
-    assert!(kept.answer().is_none());
+    assert_eq!(kept.request(&look_request("1.2")).status(), 200);
+    assert_eq!(slow.read_answer().expect("an answer").status(), 200);
+    assert!(b.wait_for_exit().success());
+    assert!(kept.read_answer().is_none());
 }
 
 /// The example starts as it is; the environment goes before the file.
@@ -292,51 +300,51 @@
     let at = free_address();
     let example =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/example.json")).unwrap();
-    let b = Balancer::spawn(at, &example, |command| {
+    let b = Balancer::start_with_config(at, &example, |command| {
         command.env("GW_LISTEN", at.to_string());
     });
-    assert_eq!(b.ask(READY).status(), 200);
+    assert_eq!(b.request(READY_REQUEST).status(), 200);
 }
 
 /// Guards against an end by SIGHUP, against a balancer that stays with a discovery that the file no longer
 /// names, though the environment had the first word at the start, and against use of a faulty file.
 #[test]
 fn sighup_follows_discovery_and_keeps_what_works() {
-    let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
+    let (old, new) = (Upstream::start(|_| ok_reply("old")), Upstream::start(|_| ok_reply("new")));
     let (before, after) = (Discovery::start(), Discovery::start());
     let at = free_address();
-    let text = |discovery| config(at, discovery, 1024, &[host("s1", old.address, 0, "SERVING")]);
-    let log = config_file("");
-    let mut b = Balancer::spawn(at, &text(before.address), |command| {
+    let text = |discovery| config_text(at, discovery, 1024, &[host_entry("s1", old.address, 0, "SERVING")]);
+    let log = write_config_file("");
+    let mut b = Balancer::start_with_config(at, &text(before.address), |command| {
         let log = std::fs::File::options().append(true).open(&log).unwrap();
         command.env("GW_DISCOVERY", before.address.to_string()).stderr(log);
     });
-    let (_, mut first) = before.watch();
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).body, b"old");
+    let (_, mut first) = before.next_watch();
+    let mut kept = b.connect();
+    assert_eq!(kept.request(&look_request("1.2")).body, b"old");
 
     std::fs::write(&b.config, text(after.address).replace("\"SloUs\":6000000", "\"SloUs\":-1")).unwrap();
     b.signal("HUP");
-    until("the faulty key in the log", || {
+    wait_until("the faulty key in the log", || {
         std::fs::read_to_string(&log).unwrap().contains("settings.Grades[1].SloUs")
     });
-    assert_eq!(kept.ask(&look("1.2")).body, b"old");
-    assert!(!first.ended(), "a faulty file was followed");
+    assert_eq!(kept.request(&look_request("1.2")).body, b"old");
+    assert!(!first.is_ended(), "a faulty file was followed");
 
     std::fs::write(&b.config, text(after.address)).unwrap();
     b.signal("HUP");
-    let (asked, mut second) = after.watch();
+    let (asked, mut second) = after.next_watch();
     assert!(asked.contains("index=0 "), "another service counts its own versions: {asked}");
-    until("the old watch's end", || first.ended());
-    second.chunk(&format!("{}\n", list(1, true, &[host("s2", new.address, 0, "SERVING")])));
-    until("its hosts", || kept.ask(&look("1.2")).body == b"new");
+    wait_until("the old watch's end", || first.is_ended());
+    second.write_chunk(&format!("{}\n", host_list(1, true, &[host_entry("s2", new.address, 0, "SERVING")])));
+    wait_until("its hosts", || kept.request(&look_request("1.2")).body == b"new");
     assert!(b.child.try_wait().unwrap().is_none());
 }
 
 #[test]
 fn a_bad_configuration_names_its_key() {
     let at = free_address();
-    let good = config(at, at, 1024, &[]);
+    let good = config_text(at, at, 1024, &[]);
     let cases = [
         (good.replace(r#""seed":"00000000000000a1""#, r#""seed":"?""#), "seed"),
         (good.replace(r#""sockets":1024"#, r#""sockets":"many""#), "limits.sockets"),
@@ -345,11 +353,11 @@
         (good.replace(r#""Semantics":"safe""#, r#""Semantics":"odd""#), "settings.Grades[0].Semantics"),
         (good.replace(r#""Name":"look","#, ""), "settings.Grades[0]"),
         (good.replace(&format!(r#""listen":"{at}""#), r#""listen":"here""#), "listen"),
-        (config(at, at, 1024, &[host("s", at, 0, "ODD")]), "known.hosts[0].health"),
+        (config_text(at, at, 1024, &[host_entry("s", at, 0, "ODD")]), "known.hosts[0].health"),
         ("{".to_string(), "EOF"),
     ];
     for (text, key) in cases {
-        let output = program(&text).stderr(std::process::Stdio::piped()).output().unwrap();
+        let output = program_command(&text).stderr(std::process::Stdio::piped()).output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && said.contains(key), "{key}: {said}");
     }
@@ -358,26 +366,26 @@
 /// A herd shows in the sum of all balancers' logs alone: each attempt and each request is told where that is asked.
 #[test]
 fn the_log_tells_every_attempt_where_that_is_asked() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let at = free_address();
-    let text = config(at, discovery.address, 1024, &[host("s1", up.address, 0, "SERVING")]);
+    let text = config_text(at, discovery.address, 1024, &[host_entry("s1", up.address, 0, "SERVING")]);
     for (level, told) in [("info", false), ("debug", true)] {
-        let log = config_file("");
-        let mut b = Balancer::spawn(at, &text, |command| {
+        let log = write_config_file("");
+        let mut b = Balancer::start_with_config(at, &text, |command| {
             let log = std::fs::File::options().append(true).open(&log).unwrap();
             command.env("GW_LOG", level).stderr(log);
         });
-        assert_eq!(b.client().ask(&look("1.2")).body, b"x");
+        assert_eq!(b.connect().request(&look_request("1.2")).body, b"x");
         // Lines are written by a thread of their own: all are there once the program has ended.
         b.signal("TERM");
-        assert!(b.wait().success());
+        assert!(b.wait_for_exit().success());
         let said = std::fs::read_to_string(&log).unwrap();
         for message in ["sent", "ended", "request"] {
             assert_eq!(said.contains(&format!(" {message}, ")), told, "{message} at {level}: {said}");
         }
     }
-    let mut odd = program(&text);
+    let mut odd = program_command(&text);
     let output = odd.env("GW_LOG", "odd").stderr(std::process::Stdio::piped()).output().unwrap();
     assert!(String::from_utf8_lossy(&output.stderr).contains("GW_LOG") && !output.status.success());
 }
@@ -386,23 +394,24 @@
 /// said 400 were taken for failing ones and left out.
 #[test]
 fn a_request_that_upstreams_turn_away_is_tried_once_and_blamed_on_none() {
-    let picky = |m: &Message| match m.start.contains("bad") {
-        true => error(400, "X-Why: id\r\n"),
-        false => ok("x"),
+    let picky = |m: &Message| match m.start_line.contains("bad") {
+        true => error_reply(400, "X-Why: id\r\n"),
+        false => ok_reply("x"),
     };
     let ups = [Upstream::start(picky), Upstream::start(picky)];
-    let hosts = [host("s0", ups[0].address, 0, "SERVING"), host("s1", ups[1].address, 0, "SERVING")];
+    let hosts =
+        [host_entry("s0", ups[0].address, 0, "SERVING"), host_entry("s1", ups[1].address, 0, "SERVING")];
     let discovery = Discovery::start();
     let b = Balancer::start(&discovery, &hosts);
-    let mut client = b.client();
+    let mut client = b.connect();
     for n in 1..30 {
-        let answer = client.ask(&look("1.2").replace("/part", "/bad"));
+        let answer = client.request(&look_request("1.2").replace("/part", "/bad"));
         assert_eq!((answer.status(), answer.header("x-why")), (400, Some("id")));
-        assert_eq!(ups[0].count() + ups[1].count(), n, "tried again");
+        assert_eq!(ups[0].request_count() + ups[1].request_count(), n, "tried again");
     }
-    let before = [ups[0].count(), ups[1].count()];
-    (0..60).for_each(|_| assert_eq!(client.ask(&look("1.2")).status(), 200));
-    assert!(ups.iter().zip(before).all(|(up, n)| up.count() > n + 10), "an upstream was left out");
+    let before = [ups[0].request_count(), ups[1].request_count()];
+    (0..60).for_each(|_| assert_eq!(client.request(&look_request("1.2")).status(), 200));
+    assert!(ups.iter().zip(before).all(|(up, n)| up.request_count() > n + 10), "an upstream was left out");
 }
 
 /// Guards against a second request under the id of an open one: upstreams tell requests apart by their ids.
@@ -412,97 +421,97 @@
     let held = std::sync::Mutex::new(held);
     let up = Upstream::start(move |_| {
         held.lock().unwrap().recv().unwrap();
-        ok("x")
+        ok_reply("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let request = book("5", "x");
-    let mut first = b.client();
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let request = book_request("5", "x");
+    let mut first = b.connect();
     first.send(&request);
-    until("the attempt", || up.opened.load(Ordering::SeqCst) == 1);
-    assert_eq!(b.ask(&request).status(), 400);
+    wait_until("the attempt", || up.connections_opened.load(Ordering::SeqCst) == 1);
+    assert_eq!(b.request(&request).status(), 400);
     let_go.send(()).unwrap();
-    assert_eq!(first.answer().expect("an answer").status(), 200);
+    assert_eq!(first.read_answer().expect("an answer").status(), 200);
     // Once answered, the id is free: a client that lost its connection may ask again.
     let_go.send(()).unwrap();
-    assert_eq!((first.ask(&request).status(), up.count()), (200, 2));
+    assert_eq!((first.request(&request).status(), up.request_count()), (200, 2));
 }
 
 /// Guards against an answer later than SIGKILL: what is taken after SIGTERM has less time than it asks for.
 #[test]
 fn what_comes_after_sigterm_is_answered_before_the_kill() {
-    let up = Upstream::start(|_| Reply::Silence);
+    let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let mut b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let mut b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
     b.signal("TERM");
     let told = Instant::now();
-    client.send(&book("6", "x"));
-    assert_eq!(client.answer().expect("an answer").status(), 502);
+    client.send(&book_request("6", "x"));
+    assert_eq!(client.read_answer().expect("an answer").status(), 502);
     // The longest deadline counts as 3 s here, and 0.7 s more are granted.
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
-    assert!(b.wait().success());
+    assert!(b.wait_for_exit().success());
 }
 
 /// Guards against callers that hold connections and send no whole request: each is closed within 3 s, with an
 /// error where it began to send. A kept connection's next request has its time from its own first byte.
 #[test]
 fn slow_callers_are_sent_away() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut kept = b.connect();
+    assert_eq!(kept.request(&look_request("1.2")).status(), 200);
     let start = Instant::now();
-    let (mut silent, mut half) = (b.client(), b.client());
+    let (mut silent, mut half) = (b.connect(), b.connect());
     half.send("GET /look HTTP/1.1\r\nHost: a\r\nReq-");
-    assert!(silent.answer().is_none_or(|m| m.status() == 408));
-    assert_eq!(half.answer().expect("an error").status(), 408);
+    assert!(silent.read_answer().is_none_or(|m| m.status() == 408));
+    assert_eq!(half.read_answer().expect("an error").status(), 408);
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-    let request = look("1.2");
+    let request = look_request("1.2");
     let (head, tail) = request.split_at(30);
     kept.send(head);
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(kept.ask(tail).status(), 200);
+    assert_eq!(kept.request(tail).status(), 200);
 }
 
 /// Guards against a flood of silent connections that pushes out the clients who come back to theirs.
 #[test]
 fn silent_callers_make_room_first() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::with_sockets(&discovery, &[host("s", up.address, 0, "SERVING")], 64);
-    let mut kept = b.client();
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
+    let b = Balancer::start_with_sockets(&discovery, &[host_entry("s", up.address, 0, "SERVING")], 64);
+    let mut kept = b.connect();
+    assert_eq!(kept.request(&look_request("1.2")).status(), 200);
     let mut silent = Vec::new();
     for _ in 0..4 {
-        silent.extend((0..20).map(|_| b.client()));
+        silent.extend((0..20).map(|_| b.connect()));
         std::thread::sleep(Duration::from_millis(200));
     }
-    assert_eq!(kept.ask(&look("1.2")).status(), 200);
-    assert!(silent[0].answer().is_none(), "nobody was closed");
+    assert_eq!(kept.request(&look_request("1.2")).status(), 200);
+    assert!(silent[0].read_answer().is_none(), "nobody was closed");
 }
 
 /// Guards against a close that destroys an error by a reset: the client sends all of its 60 MB before it reads.
 /// And against senders who keep the loop to themselves: two more never stop sending, until they are cut off.
 #[test]
 fn endless_bodies_are_answered_and_delay_nobody() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let sender = |parts: usize| {
-        let mut sender = b.client();
-        sender.send(&book("6", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+        let mut sender = b.connect();
+        sender.send(&book_request("6", "").replace("Content-Length: 0", "Content-Length: 60000000"));
         let part = "x".repeat(600_000);
         std::thread::spawn(move || {
             let sent =
                 (0..parts).all(|_| std::io::Write::write_all(&mut sender.stream, part.as_bytes()).is_ok());
-            sent.then(|| sender.answer().expect("an error").status())
+            sent.then(|| sender.read_answer().expect("an error").status())
         })
     };
     let (endless, large) = ([sender(usize::MAX), sender(usize::MAX)], sender(100));
     for _ in 0..20 {
-        assert_eq!(b.ask(&look("1.2")).status(), 200);
+        assert_eq!(b.request(&look_request("1.2")).status(), 200);
     }
     assert_eq!(large.join().unwrap(), Some(413));
     endless.into_iter().for_each(|sender| assert_eq!(sender.join().unwrap(), None));
@@ -513,15 +522,20 @@
 fn an_unreadable_report_is_not_believed() {
     let reporting = |report: &'static str| {
         let answer = format!("HTTP/1.1 200 OK\r\nSrv-Load: {report}\r\nContent-Length: 0\r\n\r\n");
-        Upstream::start(move |_| Reply::Bytes(answer.clone().into_bytes()))
+        Upstream::start(move |_| Reply::Send(answer.clone().into_bytes()))
     };
     let (odd, plain) = (reporting("TEXT busy=0.x, rif=60"), reporting("TEXT busy=0.5, rif=0"));
     let discovery = Discovery::start();
-    let hosts = [host("o", odd.address, 0, "SERVING"), host("p", plain.address, 0, "SERVING")];
+    let hosts = [host_entry("o", odd.address, 0, "SERVING"), host_entry("p", plain.address, 0, "SERVING")];
     let b = Balancer::start(&discovery, &hosts);
-    let mut client = b.client();
-    (0..100).for_each(|_| assert_eq!(client.ask(&look("1.2")).status(), 200));
-    assert!(2 * odd.count() > plain.count(), "{} to {}", odd.count(), plain.count());
+    let mut client = b.connect();
+    (0..100).for_each(|_| assert_eq!(client.request(&look_request("1.2")).status(), 200));
+    assert!(
+        2 * odd.request_count() > plain.request_count(),
+        "{} to {}",
+        odd.request_count(),
+        plain.request_count()
+    );
 }
 
 /// Guards against failing requests whose answers are good, but longer than requests may be.
@@ -529,14 +543,14 @@
 fn a_long_answer_is_passed_on_whole() {
     let body: String = (0..60_000).map(|n| format!("{n:07}")).collect();
     let answer = body.clone();
-    let up = Upstream::start(move |_| ok(&answer));
+    let up = Upstream::start(move |_| ok_reply(&answer));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
     for n in 1..4 {
-        let answer = client.ask(&book("5", "x"));
-        assert!(answer.status() == 200 && answer.body == body.as_bytes(), "{}", answer.start);
-        assert_eq!(up.count(), n, "tried again");
+        let answer = client.request(&book_request("5", "x"));
+        assert!(answer.status() == 200 && answer.body == body.as_bytes(), "{}", answer.start_line);
+        assert_eq!(up.request_count(), n, "tried again");
     }
 }
 
@@ -549,17 +563,17 @@
     let count = dropped.clone();
     let up = Upstream::start(move |m| {
         let since = std::mem::replace(&mut *last.lock().unwrap(), Instant::now()).elapsed();
-        if m.nth > 0 && since > Duration::from_millis(150) {
+        if m.index_on_connection > 0 && since > Duration::from_millis(150) {
             count.fetch_add(1, Ordering::SeqCst);
-            return Reply::Last(Vec::new());
+            return Reply::SendAndClose(Vec::new());
         }
-        ok("x")
+        ok_reply("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
     for _ in 0..8 {
-        client.ask(&look("1.2"));
+        client.request(&look_request("1.2"));
         std::thread::sleep(Duration::from_millis(300));
     }
     let dropped = dropped.load(Ordering::SeqCst);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -8,88 +8,95 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use support::late::{brought, narrow, Late, PATIENT};
+use support::late::{listen_with_short_queue, received_text, FullQueueUpstream, LONG_DIAL_WITHOUT_CANCEL};
 use support::*;
 
 /// Guards against work for nobody where the settings don't allow attempts to be cancelled: the client has left while
 /// the connection was on its way, and the request was written when it came up.
 #[test]
 fn what_waits_for_its_connection_is_not_sent_for_a_client_that_left() {
-    let up = Late::start();
+    let up = FullQueueUpstream::start();
     let discovery = Discovery::start();
-    let b = start(&discovery, &[host("s", up.address, 0, "SERVING")], &settings(&PATIENT));
-    let mut client = b.client();
-    client.send(&book("6", "x"));
-    until("an attempt that waits for its connection", || up.waits());
+    let b = start_with_settings(
+        &discovery,
+        &[host_entry("s", up.address, 0, "SERVING")],
+        &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
+    );
+    let mut client = b.connect();
+    client.send(&book_request("6", "x"));
+    wait_until("an attempt that waits for its connection", || up.has_waiting_connection());
     drop(client);
     let left = Instant::now();
-    until("the attempt given up", || !up.waits());
+    wait_until("the attempt given up", || !up.has_waiting_connection());
     assert!(left.elapsed() < Duration::from_secs(3), "{:?}: its own time was up", left.elapsed());
-    assert_eq!(brought(&up.let_up()), "");
+    assert_eq!(received_text(&up.accept_connections()), "");
 }
 
 /// Guards against a second effect: the repeat was decided on inside the key's window, and its connection came up
 /// after that (the short days' `duplicate`).
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
-    let late = Late::start();
+    let late = FullQueueUpstream::start();
     // The first attempt may have run; it ends once, and the repeat goes to the other one of the cell.
-    let first = Upstream::start(|_| Reply::Last(Vec::new()));
+    let first = Upstream::start(|_| Reply::SendAndClose(Vec::new()));
     let discovery = Discovery::start();
-    let s = settings(&PATIENT).replace("\"WindowUs\":10000000", "\"WindowUs\":300000");
-    let hosts = [host("f", first.address, 0, "SERVING"), host("l", late.address, 0, "SERVING")];
-    let b = start(&discovery, &hosts, &s);
+    let s = settings_with(&LONG_DIAL_WITHOUT_CANCEL).replace("\"WindowUs\":10000000", "\"WindowUs\":300000");
+    let hosts = [host_entry("f", first.address, 0, "SERVING"), host_entry("l", late.address, 0, "SERVING")];
+    let b = start_with_settings(&discovery, &hosts, &s);
     // Which one comes first is chance: one that met the late one first is not what this is about.
     let mut waiting = None;
     for _ in 0..20 {
-        let mut client = b.client();
-        let before = first.count();
-        client.send(&book("6", "x"));
-        until("an attempt", || first.count() > before || late.waits());
-        if first.count() > before {
-            until("its repeat, or its end", || late.waits() || ended(&client.stream));
-            if late.waits() {
+        let mut client = b.connect();
+        let before = first.request_count();
+        client.send(&book_request("6", "x"));
+        wait_until("an attempt", || first.request_count() > before || late.has_waiting_connection());
+        if first.request_count() > before {
+            wait_until("its repeat, or its end", || {
+                late.has_waiting_connection() || is_readable(&client.stream)
+            });
+            if late.has_waiting_connection() {
                 waiting = Some(client);
                 break;
             }
         }
         drop(client);
-        until("no attempt", || !late.waits());
+        wait_until("no attempt", || !late.has_waiting_connection());
     }
     let mut client = waiting.expect("a repeat that waits for its connection");
     thread::sleep(Duration::from_millis(400)); // the window passes
-    let came = brought(&late.let_up());
+    let came = received_text(&late.accept_connections());
     assert!(!came.contains("POST"), "{came}");
-    assert_eq!(client.answer().expect("an answer").status(), 502, "it may have run");
+    assert_eq!(client.read_answer().expect("an answer").status(), 502, "it may have run");
 }
 
 /// An attempt waits for its connection, then this list comes: the request is answered elsewhere, well within its time,
 /// and nothing of it came to the first one.
 fn goes_elsewhere(and_then: impl Fn(&Balancer, &str), listed: impl Fn(SocketAddr) -> Vec<String>) {
-    let late = Late::start();
-    let good = Upstream::start(|_| ok("elsewhere"));
+    let late = FullQueueUpstream::start();
+    let good = Upstream::start(|_| ok_reply("elsewhere"));
     let discovery = Discovery::start();
-    let (at, hosts) = (free_address(), [host("l", late.address, 0, "SERVING")]);
-    let text = config(at, discovery.address, 1024, &hosts).replace(SETTINGS, &settings(&PATIENT));
-    let b = Balancer::spawn(at, &text, |_| {});
-    let (_, mut watch) = discovery.watch();
-    let mut client = b.client();
-    client.send(&book("6", "x"));
-    until("an attempt that waits for its connection", || late.waits());
+    let (at, hosts) = (free_address(), [host_entry("l", late.address, 0, "SERVING")]);
+    let text = config_text(at, discovery.address, 1024, &hosts)
+        .replace(SETTINGS, &settings_with(&LONG_DIAL_WITHOUT_CANCEL));
+    let b = Balancer::start_with_config(at, &text, |_| {});
+    let (_, mut watch) = discovery.next_watch();
+    let mut client = b.connect();
+    client.send(&book_request("6", "x"));
+    wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
     and_then(&b, &text);
     let told = Instant::now();
-    let listed = [listed(late.address), vec![host("g", good.address, 0, "SERVING")]].concat();
-    watch.chunk(&(list(8, true, &listed) + "\n"));
-    assert_eq!(&client.answer().expect("an answer").body[..], b"elsewhere");
+    let listed = [listed(late.address), vec![host_entry("g", good.address, 0, "SERVING")]].concat();
+    watch.write_chunk(&(host_list(8, true, &listed) + "\n"));
+    assert_eq!(&client.read_answer().expect("an answer").body[..], b"elsewhere");
     assert!(told.elapsed() < Duration::from_secs(3), "{:?}: its own time was up", told.elapsed());
-    assert!(!late.waits(), "its attempt is still on its way");
-    assert_eq!(brought(&late.let_up()), "");
+    assert!(!late.has_waiting_connection(), "its attempt is still on its way");
+    assert_eq!(received_text(&late.accept_connections()), "");
 }
 
 /// Guards against new work for a host that drains: its connection was on its way when the list said so.
 #[test]
 fn what_waits_for_its_connection_goes_elsewhere_once_its_host_drains() {
-    goes_elsewhere(|_, _| {}, |late| vec![host("l", late, 0, "DRAINING")]);
+    goes_elsewhere(|_, _| {}, |late| vec![host_entry("l", late, 0, "DRAINING")]);
 }
 
 /// The same with a host that a whole list leaves out.
@@ -104,60 +111,61 @@
     let new_settings = |b: &Balancer, text: &str| {
         std::fs::write(&b.config, text.replace("\"Name\":\"look\"", "\"Name\":\"view\"")).unwrap();
         b.signal("HUP");
-        let view = look("0.3").replace("/look/", "/view/");
-        until("the new settings", || b.ask(&view).status() != 404);
+        let view = look_request("0.3").replace("/look/", "/view/");
+        wait_until("the new settings", || b.request(&view).status() != 404);
     };
-    goes_elsewhere(new_settings, |late| vec![host("l", late, 0, "DRAINING")]);
+    goes_elsewhere(new_settings, |late| vec![host_entry("l", late, 0, "DRAINING")]);
 }
 
 /// Guards against lists that are not written on one line, and against a bad value that takes a good list with it.
 #[test]
 fn lists_are_read_however_they_are_laid_out() {
-    let ups: Vec<_> = (0..3).map(|_| Upstream::start(|_| ok("x"))).collect();
+    let ups: Vec<_> = (0..3).map(|_| Upstream::start(|_| ok_reply("x"))).collect();
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("old", ups[0].address, 0, "SERVING")]);
-    let (_, mut watch) = discovery.watch();
+    let b = Balancer::start(&discovery, &[host_entry("old", ups[0].address, 0, "SERVING")]);
+    let (_, mut watch) = discovery.next_watch();
     let served_by = |n: usize| {
-        let before = ups[n].count();
-        b.ask(&look("1.2"));
-        ups[n].count() > before
+        let before = ups[n].request_count();
+        b.request(&look_request("1.2"));
+        ups[n].request_count() > before
     };
-    let indented = list(8, true, &[host("new", ups[1].address, 0, "SERVING")])
+    let indented = host_list(8, true, &[host_entry("new", ups[1].address, 0, "SERVING")])
         .replace('{', "{\n  ")
         .replace(',', ",\n  ");
     // In pieces, each a chunk; the first ends within a word.
     let (head, tail) = indented.split_at(20);
-    watch.chunk(head);
-    watch.chunk(&format!("{tail}\n\n"));
-    until("the indented list", || served_by(1));
+    watch.write_chunk(head);
+    watch.write_chunk(&format!("{tail}\n\n"));
+    wait_until("the indented list", || served_by(1));
     // Two on one line, then nonsense: the lists count, and the watch is opened anew from the last of them.
-    let next = list(9, false, &[]) + &list(10, true, &[host("third", ups[2].address, 0, "SERVING")]);
-    watch.chunk(&format!("{next} nonsense\n"));
-    let (line, _watch) = discovery.watch();
+    let next =
+        host_list(9, false, &[]) + &host_list(10, true, &[host_entry("third", ups[2].address, 0, "SERVING")]);
+    watch.write_chunk(&format!("{next} nonsense\n"));
+    let (line, _watch) = discovery.next_watch();
     assert!(line.contains("index=10"), "{line}");
-    until("the last good list", || served_by(2));
+    wait_until("the last good list", || served_by(2));
 }
 
 /// Guards against a watch that is kept alive by bytes that never make a list. What it misses counts as told 6 s after
 /// it fell silent: a new one has to be there by then.
 #[test]
 fn bytes_alone_do_not_keep_a_watch_alive() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let _b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let (_, mut watch) = discovery.watch();
-    watch.chunk("\n");
+    let _b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let (_, mut watch) = discovery.next_watch();
+    watch.write_chunk("\n");
     let silent = Instant::now();
     let trickle = Arc::new(Mutex::new(watch));
     let hand = trickle.clone();
     thread::spawn(move || {
-        let text = list(8, true, &[]);
+        let text = host_list(8, true, &[]);
         for byte in text.chars() {
-            hand.lock().unwrap().chunk_if_open(&byte.to_string());
+            hand.lock().unwrap().write_chunk_if_open(&byte.to_string());
             thread::sleep(Duration::from_millis(300));
         }
     });
-    discovery.watch();
+    discovery.next_watch();
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
 }
 
@@ -165,18 +173,21 @@
 /// that never comes up, then one that does, all in the 6 s after which what was missed counts as told.
 #[test]
 fn after_a_silent_watch_there_is_time_for_a_call_that_fails() {
-    let up = Upstream::start(|_| ok("x"));
-    let listener = narrow();
+    let up = Upstream::start(|_| ok_reply("x"));
+    let listener = listen_with_short_queue();
     let (at, discovery) = (free_address(), listener.local_addr().unwrap());
-    let _b =
-        Balancer::spawn(at, &config(at, discovery, 1024, &[host("s", up.address, 0, "SERVING")]), |_| {});
+    let _b = Balancer::start_with_config(
+        at,
+        &config_text(at, discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]),
+        |_| {},
+    );
     let (mut watch, _) = listener.accept().unwrap();
     write!(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n").unwrap();
     let silent = Instant::now();
-    let late = Late::fill(listener);
-    until("a call that does not come up", || late.waits());
-    until("that call given up", || !late.waits());
-    let asked = brought(&late.let_up());
+    let late = FullQueueUpstream::fill_queue(listener);
+    wait_until("a call that does not come up", || late.has_waiting_connection());
+    wait_until("that call given up", || !late.has_waiting_connection());
+    let asked = received_text(&late.accept_connections());
     assert!(asked.starts_with("GET /v1/endpoints"), "{asked}");
     // What it asks is known once nothing more has come for 0.3 s.
     assert!(silent.elapsed() < Duration::from_millis(6300), "{:?}", silent.elapsed());
@@ -185,45 +196,45 @@
 /// Guards against a site whose lists are pushed: nobody had asked for a watch there, and no list was ever heard of.
 #[test]
 fn pushed_lists_are_watched_from_the_start() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let s = settings(&[("on_request", "pushed")]);
-    let _b = start(&discovery, &[host("s", up.address, 0, "SERVING")], &s);
-    let (_, watch) = discovery.watch();
+    let s = settings_with(&[("on_request", "pushed")]);
+    let _b = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &s);
+    let (_, watch) = discovery.next_watch();
     // And again at once, when it ends.
     drop(watch);
-    discovery.watch();
+    discovery.next_watch();
 }
 
 /// Guards against a client that sent much behind its request and went: its end lies behind unread bytes.
 #[test]
 fn the_end_behind_unread_bytes_is_seen() {
-    let up = Upstream::start(|_| Reply::Silence);
+    let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let mut client = b.client();
-    client.send(&book("6", "x"));
-    until("the attempt", || up.count() == 1);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = b.connect();
+    client.send(&book_request("6", "x"));
+    wait_until("the attempt", || up.request_count() == 1);
     let sent = Instant::now();
     client.send(&"x".repeat(60_000)); // more than is read ahead, and not more than the kernel takes
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(client.answer().is_none(), "somebody was thought to wait");
+    assert!(client.read_answer().is_none(), "somebody was thought to wait");
     assert!(sent.elapsed() < Duration::from_secs(4), "{:?}: its time was up", sent.elapsed());
 }
 
 /// Guards against requests that stay in the socket, since what comes before them is answered at once.
 #[test]
 fn all_of_many_requests_behind_each_other_are_answered() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
-    let padded = READY.replace("\r\n\r\n", &format!("\r\nX-Pad: {}\r\n\r\n", "p".repeat(8_000)));
-    let mut client = b.client();
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let padded = READY_REQUEST.replace("\r\n\r\n", &format!("\r\nX-Pad: {}\r\n\r\n", "p".repeat(8_000)));
+    let mut client = b.connect();
     let mut sending = client.stream.try_clone().unwrap();
     // The kernel makes a socket's buffer larger once much has gone through it.
     for _ in 0..40 {
         client.send(&padded.repeat(10));
-        (0..10).for_each(|_| assert_eq!(client.answer().unwrap().status(), 200));
+        (0..10).for_each(|_| assert_eq!(client.read_answer().unwrap().status(), 200));
     }
     b.signal("STOP");
     let all = padded.repeat(60);
@@ -241,7 +252,7 @@
     let whole = at / padded.len();
     assert!(whole * padded.len() > 120_000, "{whole} requests fit in the socket");
     for n in 0..whole {
-        assert_eq!(client.answer().unwrap_or_else(|| panic!("no answer {n}")).status(), 200);
+        assert_eq!(client.read_answer().unwrap_or_else(|| panic!("no answer {n}")).status(), 200);
     }
 }
 
@@ -268,11 +279,11 @@
         }
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", address, 0, "SERVING")]);
-    let mut client = b.client();
+    let b = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
+    let mut client = b.connect();
     for _ in 0..40 {
-        let request = look("1.2");
-        let answer = client.ask(&request);
+        let request = look_request("1.2");
+        let answer = client.request(&request);
         let id = String::from_utf8(answer.body.clone()).unwrap();
         assert!(
             answer.status() == 200 && request.contains(&format!("Req-Id: {id}\r\n")),
@@ -283,12 +294,12 @@
 
 /// The settings with the second class unsafe to repeat.
 fn unsafe_book(changes: &[(&str, &str)]) -> String {
-    settings(changes).replace("\"Semantics\":\"keyed\"", "\"Semantics\":\"unsafe\"")
+    settings_with(changes).replace("\"Semantics\":\"keyed\"", "\"Semantics\":\"unsafe\"")
 }
 
 /// A request of the class that is unsafe to repeat: it comes without a key.
 fn order() -> String {
-    book("5", "x").replace("Idempotency-Key: 5c0f6e1a\r\n", "")
+    book_request("5", "x").replace("Idempotency-Key: 5c0f6e1a\r\n", "")
 }
 
 /// An upstream that answers so much of what it is asked, then resets the connection; how often it was asked.
@@ -317,21 +328,21 @@
 fn a_reset_is_no_end_of_an_answer_and_an_unsafe_request_goes_out_once() {
     for begun in ["", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nhalf"] {
         let (bad, asked) = resets(begun);
-        let good = Upstream::start(|_| ok("whole"));
+        let good = Upstream::start(|_| ok_reply("whole"));
         let discovery = Discovery::start();
-        let hosts = [host("b", bad, 0, "SERVING"), host("g", good.address, 0, "SERVING")];
-        let b = start(&discovery, &hosts, &unsafe_book(&[]));
+        let hosts = [host_entry("b", bad, 0, "SERVING"), host_entry("g", good.address, 0, "SERVING")];
+        let b = start_with_settings(&discovery, &hosts, &unsafe_book(&[]));
         let mut failed = 0;
         for _ in 0..12 {
-            let (before, sent) = (good.count() + *asked.lock().unwrap(), order());
-            let answer = b.ask(&sent);
+            let (before, sent) = (good.request_count() + *asked.lock().unwrap(), order());
+            let answer = b.request(&sent);
             assert!(answer.status() == 502 || answer.body == b"whole", "{answer:?}");
             failed += usize::from(answer.status() == 502);
-            assert_eq!(good.count() + *asked.lock().unwrap(), before + 1, "sent once");
+            assert_eq!(good.request_count() + *asked.lock().unwrap(), before + 1, "sent once");
         }
         assert!(failed > 0, "the bad one was never met");
         // What is safe to repeat may be, within the budget; never is half of an answer passed on.
-        let answers: Vec<_> = (0..6).map(|_| b.ask(&look("1.2"))).collect();
+        let answers: Vec<_> = (0..6).map(|_| b.request(&look_request("1.2"))).collect();
         assert!(answers.iter().all(|a| a.status() == 503 || a.body == b"whole"), "{answers:?}");
         assert!(answers.iter().any(|a| a.status() == 200), "{answers:?}");
     }
@@ -341,17 +352,21 @@
 /// connection that has rested for half of its time.
 #[test]
 fn an_unsafe_request_takes_no_connection_that_is_near_its_end() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let s = unsafe_book(&[("\"IdleCloseUs\":60000000", "\"IdleCloseUs\":3000000")]);
-    let b = start(&discovery, &[host("s", up.address, 0, "SERVING")], &s);
-    let opened = || up.opened.load(std::sync::atomic::Ordering::SeqCst);
+    let b = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &s);
+    let opened = || up.connections_opened.load(std::sync::atomic::Ordering::SeqCst);
     let rest = || thread::sleep(Duration::from_millis(1250)); // of the 2 s that a connection is kept
-    assert_eq!(b.ask(&order()).status(), 200);
+    assert_eq!(b.request(&order()).status(), 200);
     rest();
-    assert_eq!((b.ask(&look("1.2")).status(), opened()), (200, 1), "one that may be repeated takes it");
+    assert_eq!(
+        (b.request(&look_request("1.2")).status(), opened()),
+        (200, 1),
+        "one that may be repeated takes it"
+    );
     rest();
-    assert_eq!((b.ask(&order()).status(), opened()), (200, 2));
+    assert_eq!((b.request(&order()).status(), opened()), (200, 2));
 }
 
 /// Guards against bytes behind an answer that pass for the next one.
@@ -359,12 +374,16 @@
 fn what_follows_an_answer_is_nobodys() {
     let answer =
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate";
-    let up = Upstream::start(move |_| Reply::Bytes(answer.into()));
+    let up = Upstream::start(move |_| Reply::Send(answer.into()));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     for n in 1..4 {
-        assert_eq!(b.ask(&look("1.2")).body, b"x");
-        assert_eq!(up.opened.load(std::sync::atomic::Ordering::SeqCst), n, "each on its own connection");
+        assert_eq!(b.request(&look_request("1.2")).body, b"x");
+        assert_eq!(
+            up.connections_opened.load(std::sync::atomic::Ordering::SeqCst),
+            n,
+            "each on its own connection"
+        );
     }
 }
 
@@ -375,20 +394,20 @@
     let ((asked, was_asked), (go, may_go)) = (channel::<()>(), channel::<()>());
     let hold = Mutex::new((asked, may_go));
     let up = Upstream::start(move |m| {
-        if m.start.contains("book") {
+        if m.start_line.contains("book") {
             let hold = hold.lock().unwrap();
             hold.0.send(()).unwrap();
-            hold.1.recv_timeout(PATIENCE).unwrap();
+            hold.1.recv_timeout(WAIT_TIMEOUT).unwrap();
         }
-        ok("x")
+        ok_reply("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     for leaves in [true, false] {
-        let mut client = b.client();
-        client.send(&book("0.5", "x"));
+        let mut client = b.connect();
+        client.send(&book_request("0.5", "x"));
         let sent = Instant::now();
-        was_asked.recv_timeout(PATIENCE).expect("the attempt");
+        was_asked.recv_timeout(WAIT_TIMEOUT).expect("the attempt");
         b.signal("STOP");
         go.send(()).unwrap();
         if leaves {
@@ -397,12 +416,12 @@
         thread::sleep(Duration::from_millis(700).saturating_sub(sent.elapsed())); // past its time
         b.signal("CONT");
         if !leaves {
-            assert!(matches!(client.answer().expect("an answer").status(), 200 | 502 | 503));
+            assert!(matches!(client.read_answer().expect("an answer").status(), 200 | 502 | 503));
             // The next answer on the connection is the next request's.
-            assert_eq!(client.ask(READY).status(), 200);
-            assert_eq!(&client.ask(&look("1.2")).body[..], b"x");
+            assert_eq!(client.request(READY_REQUEST).status(), 200);
+            assert_eq!(&client.request(&look_request("1.2")).body[..], b"x");
         }
-        assert_eq!(b.ask(&look("1.2")).status(), 200);
+        assert_eq!(b.request(&look_request("1.2")).status(), 200);
     }
 }
 
@@ -424,10 +443,10 @@
             }
         });
         let discovery = Discovery::start();
-        let b = Balancer::start(&discovery, &[host("s", address, 0, "SERVING")]);
+        let b = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
         let asked = Instant::now();
-        assert!(matches!(b.ask(&look("0.6")).status(), 502 | 503));
+        assert!(matches!(b.request(&look_request("0.6")).status(), 502 | 503));
         assert!(asked.elapsed() < Duration::from_millis(1400), "{:?}", asked.elapsed());
-        assert_eq!(b.ask(READY).status(), 200);
+        assert_eq!(b.request(READY_REQUEST).status(), 200);
     }
 }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use support::late::{brought, connecting_to, Late, PATIENT};
+use support::late::{is_connecting_to, received_text, FullQueueUpstream, LONG_DIAL_WITHOUT_CANCEL};
 use support::*;
 
 /// The latest that an attempt may begin after its client has closed.
@@ -52,7 +52,9 @@
             }
             // More than is read ahead, and not more than the kernel takes.
             Leave::BehindBytes => stream.write_all("x".repeat(60_000).as_bytes()).unwrap(),
-            Leave::BehindRequests => (0..100).for_each(|_| stream.write_all(look("1.2").as_bytes()).unwrap()),
+            Leave::BehindRequests => {
+                (0..100).for_each(|_| stream.write_all(look_request("1.2").as_bytes()).unwrap())
+            }
         }
         None
     }
@@ -99,10 +101,10 @@
         let Some(message) = Message::read(&mut input) else { return };
         begun.lock().unwrap().push((message.header("req-id").unwrap().to_string(), at));
         match reply(&message) {
-            Reply::Bytes(b) if stream.write_all(&b).is_ok() => {}
-            Reply::Silence => {}
-            Reply::Bytes(_) => return,
-            Reply::Last(b) => {
+            Reply::Send(b) if stream.write_all(&b).is_ok() => {}
+            Reply::NoAnswer => {}
+            Reply::Send(_) => return,
+            Reply::SendAndClose(b) => {
                 let _ = stream.write_all(&b);
                 return;
             }
@@ -119,7 +121,7 @@
 /// Sends requests of clients that will leave, in each way, and one of a client that stays.
 fn send_all(b: &Balancer, request: impl Fn() -> String) -> (Vec<(Leave, Client, String)>, Client) {
     let send = || {
-        let (mut client, request) = (b.client(), request());
+        let (mut client, request) = (b.connect(), request());
         client.send(&request);
         (client, request)
     };
@@ -144,18 +146,18 @@
 /// Guards against first attempts for nobody: the requests wait in the module, as no upstream is known.
 #[test]
 fn what_is_held_is_not_begun_once_its_client_has_left() {
-    let up = Witness::start(|_| ok("x"));
+    let up = Witness::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let address = free_address();
-    let text = config(address, discovery.address, 1024, &[]);
-    let b = Balancer { address, child: program(&text).spawn().unwrap(), config: String::new() };
-    until("the listener", || Client::connect(address).is_some());
-    let (_, mut watch) = discovery.watch();
-    let (leaving, mut stays) = send_all(&b, || book("6", "x"));
+    let text = config_text(address, discovery.address, 1024, &[]);
+    let b = Balancer { address, child: program_command(&text).spawn().unwrap(), config: String::new() };
+    wait_until("the listener", || Client::connect(address).is_some());
+    let (_, mut watch) = discovery.next_watch();
+    let (leaving, mut stays) = send_all(&b, || book_request("6", "x"));
     thread::sleep(LATEST);
     let (left, _open) = leave_all(leaving);
-    watch.chunk(&(list(8, true, &[host("s", up.address, 0, "SERVING")]) + "\n"));
-    assert_eq!(stays.answer().expect("an answer").status(), 200, "whoever stays is served");
+    watch.write_chunk(&(host_list(8, true, &[host_entry("s", up.address, 0, "SERVING")]) + "\n"));
+    assert_eq!(stays.read_answer().expect("an answer").status(), 200, "whoever stays is served");
     thread::sleep(WELL_PAST);
     let begun: Vec<_> = left.iter().filter(|(_, r)| up.attempts(r) > 0).map(|(way, _)| way).collect();
     assert!(begun.is_empty() && up.count() == 1, "{begun:?}: {} attempts", up.count());
@@ -170,19 +172,19 @@
     // Every attempt waits until it may fail, and may be made again.
     let up = Witness::start(move |_| {
         drop(hand.lock());
-        error(503, "Srv-Declined: 1\r\n")
+        error_reply(503, "Srv-Declined: 1\r\n")
     });
     let discovery = Discovery::start();
-    let hosts = [host("s", up.address, 0, "SERVING"), host("t", up.address, 0, "SERVING")];
-    let b = start(&discovery, &hosts, &settings(change));
-    let (leaving, _stays) = send_all(&b, || book("6", "x"));
-    until("the first attempts", || up.count() > ALL.len());
+    let hosts = [host_entry("s", up.address, 0, "SERVING"), host_entry("t", up.address, 0, "SERVING")];
+    let b = start_with_settings(&discovery, &hosts, &settings_with(change));
+    let (leaving, _stays) = send_all(&b, || book_request("6", "x"));
+    wait_until("the first attempts", || up.count() > ALL.len());
     before_leaving(&b);
     let (left, _open) = leave_all(leaving);
     let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts(r))).collect();
     let count = up.count();
     drop(held);
-    until("a further attempt for the one that stays", || up.count() > count);
+    wait_until("a further attempt for the one that stays", || up.count() > count);
     thread::sleep(WELL_PAST);
     for (way, request) in &left {
         assert_eq!(up.attempts(request), before[way], "{way:?}: begun for a client that had left");
@@ -213,21 +215,22 @@
 fn a_hanging_attempt_is_not_made_again_once_its_client_has_left() {
     let hangs = Arc::new(AtomicBool::new(false));
     let hanging = hangs.clone();
-    let up = Witness::start(move |_| if hanging.load(Ordering::SeqCst) { Reply::Silence } else { ok("x") });
+    let up =
+        Witness::start(move |_| if hanging.load(Ordering::SeqCst) { Reply::NoAnswer } else { ok_reply("x") });
     let discovery = Discovery::start();
-    let hosts: Vec<_> = (0..4).map(|n| host(&format!("s{n}"), up.address, 0, "SERVING")).collect();
-    let b = start(&discovery, &hosts, SETTINGS);
+    let hosts: Vec<_> = (0..4).map(|n| host_entry(&format!("s{n}"), up.address, 0, "SERVING")).collect();
+    let b = start_with_settings(&discovery, &hosts, SETTINGS);
     // How long answers take is known from these.
-    let mut client = b.client();
-    (0..WARM_UP).for_each(|_| assert_eq!(client.ask(&look("1.4")).status(), 200));
+    let mut client = b.connect();
+    (0..WARM_UP).for_each(|_| assert_eq!(client.request(&look_request("1.4")).status(), 200));
     hangs.store(true, Ordering::SeqCst);
     let warm = up.count();
-    let (leaving, mut stays) = send_all(&b, || look("1.4"));
-    until("the first attempts", || up.count() > warm + ALL.len());
+    let (leaving, mut stays) = send_all(&b, || look_request("1.4"));
+    wait_until("the first attempts", || up.count() > warm + ALL.len());
     let (left, _open) = leave_all(leaving);
     let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts(r))).collect();
     let count = up.count();
-    stays.answer();
+    stays.read_answer();
     assert!(up.count() > count, "the one that stays got no second attempt");
     for (way, request) in &left {
         assert_eq!(up.attempts(request), before[way], "{way:?}: begun for a client that had left");
@@ -243,19 +246,23 @@
         let hand = go.clone();
         let up = Witness::start(move |_| {
             drop(hand.lock());
-            ok("x")
+            ok_reply("x")
         });
         let discovery = Discovery::start();
-        let b = start(&discovery, &[host("s", up.address, 0, "SERVING")], &settings(&[KEPT]));
-        let mut client = b.client();
-        client.send(&(0..20).map(|_| book("6", "x")).collect::<String>());
-        until("the first one", || up.count() == 1);
+        let b = start_with_settings(
+            &discovery,
+            &[host_entry("s", up.address, 0, "SERVING")],
+            &settings_with(&[KEPT]),
+        );
+        let mut client = b.connect();
+        client.send(&(0..20).map(|_| book_request("6", "x")).collect::<String>());
+        wait_until("the first one", || up.count() == 1);
         let _open = way.leave(client);
         thread::sleep(WELL_PAST);
         drop(held);
         thread::sleep(WELL_PAST);
         assert_eq!(up.count(), 1, "{way:?}: begun for a client that had left");
-        assert_eq!(b.ask(READY).status(), 200);
+        assert_eq!(b.request(READY_REQUEST).status(), 200);
     }
 }
 
@@ -264,20 +271,24 @@
 #[test]
 fn a_close_that_is_found_in_the_turn_of_the_connection_comes_first() {
     for way in ALL {
-        let late = Late::start();
+        let late = FullQueueUpstream::start();
         let address = late.address;
         let discovery = Discovery::start();
-        let b = start(&discovery, &[host("s", address, 0, "SERVING")], &settings(&PATIENT));
-        let mut client = b.client();
-        client.send(&book("6", "x"));
-        until("an attempt that waits for its connection", || late.waits());
+        let b = start_with_settings(
+            &discovery,
+            &[host_entry("s", address, 0, "SERVING")],
+            &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
+        );
+        let mut client = b.connect();
+        client.send(&book_request("6", "x"));
+        wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
         b.signal("STOP");
-        let came = late.let_up();
-        until("its connection", || !connecting_to(address));
+        let came = late.accept_connections();
+        wait_until("its connection", || !is_connecting_to(address));
         let _open = way.leave(client);
         thread::sleep(WELL_PAST);
         b.signal("CONT");
-        assert_eq!(brought(&came), "", "{way:?}");
+        assert_eq!(received_text(&came), "", "{way:?}");
     }
 }
 
@@ -285,15 +296,19 @@
 #[test]
 fn a_connection_that_comes_up_after_the_close_is_not_written_to() {
     for way in ALL {
-        let late = Late::start();
+        let late = FullQueueUpstream::start();
         let discovery = Discovery::start();
-        let b = start(&discovery, &[host("s", late.address, 0, "SERVING")], &settings(&PATIENT));
-        let mut client = b.client();
-        client.send(&book("6", "x"));
-        until("an attempt that waits for its connection", || late.waits());
+        let b = start_with_settings(
+            &discovery,
+            &[host_entry("s", late.address, 0, "SERVING")],
+            &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
+        );
+        let mut client = b.connect();
+        client.send(&book_request("6", "x"));
+        wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
         let _open = way.leave(client);
-        until("the attempt given up", || !late.waits());
-        assert_eq!(brought(&late.let_up()), "", "{way:?}");
+        wait_until("the attempt given up", || !late.has_waiting_connection());
+        assert_eq!(received_text(&late.accept_connections()), "", "{way:?}");
     }
 }
 
@@ -310,14 +325,14 @@
         let hand = go.clone();
         let up = Witness::start(move |_| {
             drop(hand.lock());
-            error(503, "Srv-Declined: 1\r\n")
+            error_reply(503, "Srv-Declined: 1\r\n")
         });
         let discovery = Discovery::start();
-        let hosts = [host("s", up.address, 0, "SERVING"), host("t", up.address, 0, "SERVING")];
-        let b = start(&discovery, &hosts, &settings(&[KEPT]));
-        let mut client = b.client();
-        client.send(&book("6", "x"));
-        until("the first attempt", || up.count() == 1);
+        let hosts = [host_entry("s", up.address, 0, "SERVING"), host_entry("t", up.address, 0, "SERVING")];
+        let b = start_with_settings(&discovery, &hosts, &settings_with(&[KEPT]));
+        let mut client = b.connect();
+        client.send(&book_request("6", "x"));
+        wait_until("the first attempt", || up.count() == 1);
         // Its kernel holds what the balancer's does not take.
         socket2::SockRef::from(&client.stream).set_send_buffer_size(2 * much).unwrap();
         client.send(&"x".repeat(much));
@@ -339,21 +354,21 @@
     // Each answer is the id of its request.
     let up = Witness::start(move |m| {
         drop(hand.lock());
-        ok(m.header("req-id").unwrap())
+        ok_reply(m.header("req-id").unwrap())
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let pad = format!("\r\nX-Pad: {}\r\n\r\n", "p".repeat(8_000));
-    let requests: Vec<_> = (0..REQUESTS).map(|_| book("6", "").replace("\r\n\r\n", &pad)).collect();
-    let mut client = b.client();
+    let requests: Vec<_> = (0..REQUESTS).map(|_| book_request("6", "").replace("\r\n\r\n", &pad)).collect();
+    let mut client = b.connect();
     let mut sending = client.stream.try_clone().unwrap();
     let all = requests.concat();
     let sent = thread::spawn(move || sending.write_all(all.as_bytes()));
-    until("the first attempt", || up.count() == 1);
+    wait_until("the first attempt", || up.count() == 1);
     thread::sleep(WELL_PAST); // much is read ahead meanwhile
     drop(held);
     for request in &requests {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, id_of(request).into_bytes()));
     }
     sent.join().unwrap().expect("all was taken");
@@ -370,8 +385,8 @@
     let ups: Vec<_> = (0..4).map(|n| Witness::start(move |m| mixed(n, m))).collect();
     let discovery = Discovery::start();
     let hosts: Vec<_> =
-        ups.iter().enumerate().map(|(n, u)| host(&format!("s{n}"), u.address, 0, "SERVING")).collect();
-    let b = start(&discovery, &hosts, &settings(&[KEPT]));
+        ups.iter().enumerate().map(|(n, u)| host_entry(&format!("s{n}"), u.address, 0, "SERVING")).collect();
+    let b = start_with_settings(&discovery, &hosts, &settings_with(&[KEPT]));
     let closed: Mutex<HashMap<String, Instant>> = Mutex::default();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
@@ -379,7 +394,7 @@
             scope.spawn(move || {
                 let mut rng = fastrand::Rng::with_seed(client as u64);
                 for _ in 0..REQUESTS {
-                    let (mut client, request) = (b.client(), look("1.4"));
+                    let (mut client, request) = (b.connect(), look_request("1.4"));
                     client.send(&request);
                     thread::sleep(Duration::from_micros(rng.u64(0..60_000)));
                     let at = Instant::now();
@@ -408,9 +423,9 @@
     let draw = m.header("req-id").unwrap().bytes().map(usize::from).sum::<usize>();
     thread::sleep(Duration::from_millis((draw * 7 + n * 13) as u64 % 40));
     match (n + draw) % 4 {
-        0 => error(503, "Srv-Declined: 1\r\n"),
-        1 => error(500, ""),
-        2 => Reply::Last(Vec::new()),
-        _ => ok("x"),
+        0 => error_reply(503, "Srv-Declined: 1\r\n"),
+        1 => error_reply(500, ""),
+        2 => Reply::SendAndClose(Vec::new()),
+        _ => ok_reply("x"),
     }
 }
--- a/tests/discovery_faults.rs
+++ b/tests/discovery_faults.rs
@@ -6,7 +6,7 @@
 
 use std::thread;
 use std::time::{Duration, Instant};
-use support::scene::{Fleet, Scene, ADDED, GRACE, NAMES, TOLD_AFTER};
+use support::scene::{ListedUpstreams, Scenario, GRACE, LIMIT_ALLOWANCE, NOTIFIED_AFTER, UPSTREAM_NAMES};
 use support::scripted::{CallAnswer, WatchLoss};
 
 /// The trouble begins so long after the process has its first list, and lasts for so long.
@@ -26,22 +26,22 @@
 
 /// From some time on calls are answered like this, and the watch is lost; one upstream leaves right then.
 fn play(instances: u32, answer: CallAnswer, loss: WatchLoss) -> Finding {
-    let scene = Scene::start(Fleet::start(1), instances, u64::from(instances));
+    let scene = Scenario::start(ListedUpstreams::start(1), instances, u64::from(instances));
     scene.wait_for_watch();
     thread::sleep(QUIET);
     scene.discovery.answer_calls(answer);
     scene.discovery.lose_watches(loss);
-    let left = scene.discovery.drain(NAMES[0]);
+    let left = scene.discovery.drain(UPSTREAM_NAMES[0]);
     thread::sleep(TROUBLE);
     let ended = Instant::now();
-    let breaks = scene.breaks_after(left + TOLD_AFTER);
-    scene.discovery.answer_calls(CallAnswer::Whole);
+    let breaks = scene.late_arrivals(left + NOTIFIED_AFTER);
+    scene.discovery.answer_calls(CallAnswer::WholeList);
     thread::sleep(RECOVERS_WITHIN + Duration::from_secs(1));
     Finding {
         title: format!("{answer:?}, watch {loss:?}, {instances} instances"),
         breaks,
-        before: scene.served_between(left - QUIET, left),
-        recovered: scene.served_between(ended + RECOVERS_WITHIN, Instant::now()),
+        before: scene.served_share(left - QUIET, left),
+        recovered: scene.served_share(ended + RECOVERS_WITHIN, Instant::now()),
     }
 }
 
@@ -80,7 +80,7 @@
 
 #[test]
 fn an_answer_without_a_list_keeps_no_list_in_use() {
-    check_answer(CallAnswer::HeadAlone);
+    check_answer(CallAnswer::HeadOnly);
 }
 
 #[test]
@@ -102,7 +102,7 @@
 /// Guards against calls that fail after a silence, and give the list that missed it a longer life.
 #[test]
 fn what_a_silent_watch_missed_binds_though_discovery_is_out_of_reach_then() {
-    check([1, 300].map(|n| (n, CallAnswer::NoConnection, WatchLoss::Silent)).to_vec());
+    check([1, 300].map(|n| (n, CallAnswer::NoConnection, WatchLoss::Stalled)).to_vec());
 }
 
 /// What a process came to that was started with an old list.
@@ -115,17 +115,18 @@
 /// Three upstreams drain this long before a process starts that knows them as serving.
 fn start_late(instances: u32, seed: u64, drained_before: Duration, played: Duration) -> Start {
     const LEAVERS: usize = 3;
-    let fleet = Fleet::start(LEAVERS);
-    let left: Vec<Instant> = NAMES[..LEAVERS].iter().map(|name| fleet.discovery.drain(name)).collect();
-    let bound = *left.last().expect("one has left") + TOLD_AFTER;
+    let fleet = ListedUpstreams::start(LEAVERS);
+    let left: Vec<Instant> =
+        UPSTREAM_NAMES[..LEAVERS].iter().map(|name| fleet.discovery.drain(name)).collect();
+    let bound = *left.last().expect("one has left") + NOTIFIED_AFTER;
     thread::sleep(drained_before);
     let started = Instant::now();
-    let scene = Scene::start(fleet, instances, seed);
+    let scene = Scenario::start(fleet, instances, seed);
     thread::sleep(played.saturating_sub(started.elapsed()));
     Start {
         asked: scene.discovery.calls().first().map(|&at| at - started),
-        breaks: scene.breaks_after(bound),
-        served: scene.served_between(started, Instant::now()),
+        breaks: scene.late_arrivals(bound),
+        served: scene.served_share(started, Instant::now()),
     }
 }
 
@@ -136,8 +137,9 @@
 fn a_process_that_starts_sends_nothing_by_an_old_list() {
     const PROCESSES: u64 = 6;
     let scenes = (0..PROCESSES).flat_map(|seed| {
-        let old =
-            thread::spawn(move || start_late(220, seed, TOLD_AFTER + GRACE + ADDED, Duration::from_secs(8)));
+        let old = thread::spawn(move || {
+            start_late(220, seed, NOTIFIED_AFTER + GRACE + LIMIT_ALLOWANCE, Duration::from_secs(8))
+        });
         let large = thread::spawn(move || start_late(990, seed, Duration::ZERO, Duration::from_secs(20)));
         [("220 instances, drained before", old), ("990 instances, drain at the start", large)]
     });
@@ -151,7 +153,7 @@
     }
     for (title, f) in findings {
         assert_eq!(f.breaks, 0, "{title}");
-        assert!(f.asked.is_some_and(|after| after < TOLD_AFTER), "{title}: asked after {:?}", f.asked);
+        assert!(f.asked.is_some_and(|after| after < NOTIFIED_AFTER), "{title}: asked after {:?}", f.asked);
         assert!(f.served > 0.95, "{title}: served {}", f.served);
     }
 }
@@ -163,19 +165,20 @@
     const LEAVERS: usize = 3;
     const CROWDED: Duration = Duration::from_secs(9);
     let play = |answer| {
-        let fleet = Fleet::start(LEAVERS);
-        let left: Vec<Instant> = NAMES[..LEAVERS].iter().map(|name| fleet.discovery.drain(name)).collect();
+        let fleet = ListedUpstreams::start(LEAVERS);
+        let left: Vec<Instant> =
+            UPSTREAM_NAMES[..LEAVERS].iter().map(|name| fleet.discovery.drain(name)).collect();
         fleet.discovery.answer_calls(answer);
-        thread::sleep(TOLD_AFTER + GRACE + ADDED);
-        let scene = Scene::start(fleet, 1, 7);
+        thread::sleep(NOTIFIED_AFTER + GRACE + LIMIT_ALLOWANCE);
+        let scene = Scenario::start(fleet, 1, 7);
         thread::sleep(CROWDED);
-        let breaks = scene.breaks_after(left[0] + TOLD_AFTER);
-        scene.discovery.answer_calls(CallAnswer::Whole);
+        let breaks = scene.late_arrivals(left[0] + NOTIFIED_AFTER);
+        scene.discovery.answer_calls(CallAnswer::WholeList);
         let ended = Instant::now();
         thread::sleep(RECOVERS_WITHIN + Duration::from_secs(1));
-        (breaks, scene.served_between(ended + RECOVERS_WITHIN, Instant::now()))
+        (breaks, scene.served_share(ended + RECOVERS_WITHIN, Instant::now()))
     };
-    let answers = [CallAnswer::BusyAtOnce, CallAnswer::BusyLate, CallAnswer::Reset, CallAnswer::Silence];
+    let answers = [CallAnswer::BusyAtOnce, CallAnswer::BusyLate, CallAnswer::Reset, CallAnswer::NoAnswer];
     let playing: Vec<_> = answers.map(|answer| (answer, thread::spawn(move || play(answer)))).into();
     let findings: Vec<_> = playing.into_iter().map(|(answer, p)| (answer, p.join().unwrap())).collect();
     for (answer, (breaks, recovered)) in &findings {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -140,7 +140,7 @@
         ("voters = [\"b\"]\nlease = \"2m\"\n", "fleet.duties.lease", "longer than a minute"),
         ("voters = [\"b\"]\nnames = [\"x\", \"x\"]\n", "fleet.duties.names[1]", "no name of its own"),
     ] {
-        let file = config_file(&format!("{}{fleet}{table}", ALONE.replace("LISTEN", "127.0.0.1:0")));
+        let file = write_config_file(&format!("{}{fleet}{table}", ALONE.replace("LISTEN", "127.0.0.1:0")));
         let told = text(&run(&["check", &file]));
         assert!(told.contains(key) && told.contains(part), "{table}: {told}");
     }
@@ -150,7 +150,7 @@
 /// on its folder is refused.
 #[test]
 fn a_single_voter_keeps_its_epochs_over_a_restart() {
-    let folder = std::path::PathBuf::from(config_file("x")).with_extension("state");
+    let folder = std::path::PathBuf::from(write_config_file("x")).with_extension("state");
     let admin = free_address();
     let file = |admin: std::net::SocketAddr| {
         format!(
@@ -160,7 +160,7 @@
     };
     let epoch = |admin: std::net::SocketAddr| {
         let mut epoch = 0;
-        until("an owner", || {
+        wait_until("an owner", || {
             let out = run(&["duties", "--json", &admin.to_string()]);
             let told: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
             epoch = told["owned"][0]["epoch"].as_u64().unwrap_or(0);
@@ -168,19 +168,19 @@
         });
         epoch
     };
-    let first = Operated::start(&file(admin));
+    let first = OperatedBalancer::start(&file(admin));
     let before = epoch(admin);
     let table = text(&run(&["duties", &admin.to_string()]));
     assert!(table.contains("report") && table.contains("acts") && table.contains("leads"), "{table}");
     let refused = text(&run(&["duties", &admin.to_string(), "move", "report", "nobody"]));
     assert!(refused.contains("no member called"), "{refused}");
     let other = free_address();
-    let second = Operated::start(&file(other));
-    until("the refusal", || second.logged("another process has this folder") > 0);
-    assert_eq!(second.ask(&get("/")).status() / 100, 5, "it serves on");
+    let second = OperatedBalancer::start(&file(other));
+    wait_until("the refusal", || second.count_in_log("another process has this folder") > 0);
+    assert_eq!(second.request(&get_request("/")).status() / 100, 5, "it serves on");
     drop((first, second));
     let third = free_address();
-    let _third = Operated::start(&file(third));
+    let _third = OperatedBalancer::start(&file(third));
     let after = epoch(third);
     assert!(after > before, "{after} after {before}: another life has another epoch");
 }
@@ -214,12 +214,12 @@
         ("finds no owner in time", format!("{top}{late}{fast}{last}"), "each duty has an owner again"),
         ("has nobody to tell", format!("{alone}{fast}{hang}"), "all go by a verdict on a sick node"),
     ] {
-        let file = config_file(&script);
+        let file = write_config_file(&script);
         let out = run(&["drill", &file]);
         assert_eq!(out.status.code(), Some(1), "{what}: {}", text(&out));
         assert!(text(&out).contains(broken) && text(&out).contains("drill failed"), "{what}: {}", text(&out));
     }
-    let out = run(&["drill", &config_file("members = 0\ntime = \"1s\"")]);
+    let out = run(&["drill", &write_config_file("members = 0\ntime = \"1s\"")]);
     assert!(text(&out).contains("members: 0 is out of range"), "{}", text(&out));
 }
 
@@ -256,54 +256,54 @@
 #[test]
 fn without_the_table_there_is_no_socket_no_thread_and_no_figure() {
     let discovery = Discovery::start();
-    let up = Upstream::start(|_| ok("x"));
-    let platform = Balancer::start(&discovery, &[host("s", up.address, 0, "SERVING")]);
+    let up = Upstream::start(|_| ok_reply("x"));
+    let platform = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let (sockets, threads) = sockets_and_threads(platform.child.id());
     assert_eq!(sockets, 0, "a datagram socket on the platform");
     let admin = free_address();
-    let plain = Operated::start(&format!("{ALONE}[admin]\naddress = \"{admin}\"\n"));
+    let plain = OperatedBalancer::start(&format!("{ALONE}[admin]\naddress = \"{admin}\"\n"));
     assert_eq!(sockets_and_threads(plain.child.id()), (0, threads));
     let refused = run(&["members", &admin.to_string()]);
     assert_eq!(refused.status.code(), Some(1));
     assert!(text(&refused).contains("no [fleet] in its file"), "{}", text(&refused));
     let refused = run(&["duties", &admin.to_string()]);
     assert!(text(&refused).contains("no [fleet.duties] in its file"), "{}", text(&refused));
-    let stats = Client::connect(admin).unwrap().ask("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
+    let stats = Client::connect(admin).unwrap().request("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
     let figures = String::from_utf8_lossy(&stats.body).to_string();
     assert!(!figures.contains("fleet") && !figures.contains("duties"));
     // The check has to be able to see one.
     let admin = free_address();
     let fleet = "[fleet]\naddress = \"127.0.0.1:0\"\nname = \"alone\"\n";
-    let member = Operated::start(&format!("{ALONE}[admin]\naddress = \"{admin}\"\n{fleet}"));
+    let member = OperatedBalancer::start(&format!("{ALONE}[admin]\naddress = \"{admin}\"\n{fleet}"));
     assert_eq!(sockets_and_threads(member.child.id()), (1, threads), "a socket, and still no thread");
     let table = text(&run(&["members", &admin.to_string()]));
     assert!(table.contains("alone") && table.contains("self") && table.contains("1 alive"), "{table}");
     let json: serde_json::Value =
         serde_json::from_slice(&run(&["members", "--json", &admin.to_string()]).stdout).unwrap();
     assert_eq!((&json["alive"], &json["members"][0]["state"]), (&1.into(), &"self".into()));
-    let stats = Client::connect(admin).unwrap().ask("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
+    let stats = Client::connect(admin).unwrap().request("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(String::from_utf8_lossy(&stats.body).contains("edge_gw.fleet.members_alive:1|g"));
 }
 
 /// Guards against a key file that is damaged while running: the keys before stay in force, and it is told.
 #[test]
 fn a_damaged_key_file_changes_nothing() {
-    let keys = config_file(&format!("1 {}\n", "ab".repeat(32)));
+    let keys = write_config_file(&format!("1 {}\n", "ab".repeat(32)));
     let admin = free_address();
     let fleet = format!("[fleet]\naddress = \"127.0.0.1:0\"\nname = \"a\"\nkey_file = \"{keys}\"\n");
     let file = format!("{ALONE}[admin]\naddress = \"{admin}\"\n{fleet}");
-    let member = Operated::start(&file);
+    let member = OperatedBalancer::start(&file);
     std::fs::write(&keys, "1 not a key\n").unwrap();
     member.reload(&file);
-    until("the complaint", || member.logged("the fleet's keys before stay in force") == 1);
-    assert!(member.log().contains("line 1"), "{}", member.log());
+    wait_until("the complaint", || member.count_in_log("the fleet's keys before stay in force") == 1);
+    assert!(member.log_text().contains("line 1"), "{}", member.log_text());
     std::fs::write(&keys, format!("2 {}\n", "cd".repeat(32))).unwrap();
     member.reload(&file);
-    assert_eq!(member.logged("the fleet's keys before stay in force"), 1);
+    assert_eq!(member.count_in_log("the fleet's keys before stay in force"), 1);
     // A start with a damaged file is refused, and names key and line.
     std::fs::write(&keys, "1 not a key\n").unwrap();
-    let mut refused = Operated::spawn(&file.replace(&admin.to_string(), &free_address().to_string()));
-    assert!(!refused.balancer.wait().success());
+    let mut refused = OperatedBalancer::spawn(&file.replace(&admin.to_string(), &free_address().to_string()));
+    assert!(!refused.balancer.wait_for_exit().success());
 }
 
 /// A pool that does not say how many share its nodes follows the live membership, and keeps to the most of late when
@@ -319,21 +319,24 @@
             links[i], links[0]
         )
     };
-    let mut members: Vec<Operated> = (0..3).map(|i| Operated::spawn(&file(i))).collect();
+    let mut members: Vec<OperatedBalancer> = (0..3).map(|i| OperatedBalancer::spawn(&file(i))).collect();
     for m in &members {
-        until("three instances", || m.logged("instances: 3") + m.logged("\"instances\":3") > 0);
+        wait_until("three instances", || {
+            m.count_in_log("instances: 3") + m.count_in_log("\"instances\":3") > 0
+        });
     }
     // Each is another one, and the pool that says so itself is left alone.
     let ranks: std::collections::BTreeSet<bool> = members
         .iter()
-        .map(|m| m.log().lines().any(|l| l.contains("instances: 3") && l.contains("instance: 0")))
+        .map(|m| m.log_text().lines().any(|l| l.contains("instances: 3") && l.contains("instance: 0")))
         .collect();
     assert_eq!(ranks.len(), 2, "one of them is the first, not all");
-    assert!(members.iter().all(|m| !m.log().contains("pool: fixed")));
+    assert!(members.iter().all(|m| !m.log_text().contains("pool: fixed")));
     members[2].balancer.child.kill().unwrap();
-    until("the death is known", || members[..2].iter().all(|m| m.logged("a member is down") > 0));
+    wait_until("the death is known", || members[..2].iter().all(|m| m.count_in_log("a member is down") > 0));
     // On the way up it may have been 2: the last word counts.
-    let last = |m: &Operated| m.log().lines().rfind(|l| l.contains("instances: ")).map(str::to_string);
+    let last =
+        |m: &OperatedBalancer| m.log_text().lines().rfind(|l| l.contains("instances: ")).map(str::to_string);
     assert!(
         members[..2].iter().all(|m| last(m).is_some_and(|l| l.contains("instances: 3"))),
         "the size is held"
@@ -345,21 +348,21 @@
 #[test]
 fn a_log_at_its_limit_costs_lines_and_not_the_process() {
     use rustix::process::{prlimit, Pid, Resource, Rlimit};
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let file = ALONE.replace("127.0.0.1:9\"", &format!("{}\"", up.address));
-    let mut b = Operated::start(&file);
+    let mut b = OperatedBalancer::start(&file);
     let pid = Pid::from_child(&b.balancer.child);
-    let held = b.log().len() as u64;
+    let held = b.log_text().len() as u64;
     let limit = |most| Rlimit { current: most, maximum: None };
     prlimit(Some(pid), Resource::Fsize, limit(Some(held))).unwrap();
     for _ in 0..3 {
         b.balancer.signal("HUP");
         std::thread::sleep(std::time::Duration::from_millis(100));
-        assert_eq!(b.ask(&get("/")).status(), 200, "it serves on");
+        assert_eq!(b.request(&get_request("/")).status(), 200, "it serves on");
     }
     assert!(b.balancer.child.try_wait().unwrap().is_none(), "it has ended");
-    assert_eq!(b.log().len() as u64, held, "the limit was not met: nothing was tried");
+    assert_eq!(b.log_text().len() as u64, held, "the limit was not met: nothing was tried");
     prlimit(Some(pid), Resource::Fsize, limit(None)).unwrap();
     b.reload(&file);
-    assert_eq!(b.ask(&get("/")).status(), 200);
+    assert_eq!(b.request(&get_request("/")).status(), 200);
 }
--- a/tests/list_age.rs
+++ b/tests/list_age.rs
@@ -5,7 +5,7 @@
 
 use std::thread;
 use std::time::{Duration, Instant};
-use support::scene::{Fleet, Scene, NAMES, TOLD_AFTER};
+use support::scene::{ListedUpstreams, Scenario, NOTIFIED_AFTER, UPSTREAM_NAMES};
 use support::scripted::{CallAnswer, Lateness, WatchLoss};
 
 /// The process has had its watch for so long when the fault begins, and the fault lasts for so long.
@@ -79,7 +79,7 @@
 }
 
 fn play(fault: Fault) -> Finding {
-    let scene = Scene::start(Fleet::start(1), fault.instances, u64::from(fault.instances));
+    let scene = Scenario::start(ListedUpstreams::start(1), fault.instances, u64::from(fault.instances));
     scene.wait_for_watch();
     thread::sleep(QUIET);
     let begun = Instant::now();
@@ -87,7 +87,7 @@
     scene.discovery.answer_calls_in_turn(&fault.answers);
     fault.loss.into_iter().for_each(|how| scene.discovery.lose_watches(how));
     thread::sleep(fault.leaves_after);
-    let left = scene.discovery.drain(NAMES[0]);
+    let left = scene.discovery.drain(UPSTREAM_NAMES[0]);
     while begun.elapsed() < FAULT {
         thread::sleep(RECONFIGURED_EVERY);
         if let Some(series) = fault.series {
@@ -95,14 +95,14 @@
             scene.reconfigure(address, series.changes_settings);
         }
     }
-    let breaks = scene.breaks_after(left + TOLD_AFTER);
+    let breaks = scene.late_arrivals(left + NOTIFIED_AFTER);
     scene.discovery.service.set_lateness(Lateness::default());
-    scene.discovery.answer_calls(CallAnswer::Whole);
+    scene.discovery.answer_calls(CallAnswer::WholeList);
     let ended = Instant::now();
     let recovers_within = recovers_within(fault.instances);
     thread::sleep(recovers_within + QUIET);
-    let before = scene.served_between(begun - QUIET, begun);
-    let recovered = scene.served_between(ended + recovers_within, Instant::now());
+    let before = scene.served_share(begun - QUIET, begun);
+    let recovered = scene.served_share(ended + recovers_within, Instant::now());
     Finding { fault, breaks, before, recovered }
 }
 
@@ -127,7 +127,7 @@
 /// answer to the next call takes 3.3 s.
 #[test]
 fn a_watch_that_ends_in_place_of_a_late_change_keeps_no_list_in_use() {
-    let lateness = Lateness { lists: ms(2_800), changes: ms(4_000), ends: Some(WatchLoss::Ended) };
+    let lateness = Lateness { lists: ms(2_800), changes: ms(4_000), loss_at_change: Some(WatchLoss::Ended) };
     let fault = |instances| Fault {
         title: "late lists, watch ended, slow answer",
         instances,
@@ -144,7 +144,7 @@
 /// written 2.5 s later, and the watch falls silent behind it.
 #[test]
 fn an_answer_proves_what_was_so_when_it_was_asked_for() {
-    let answers = [CallAnswer::LateThenSilent(ms(2_500))];
+    let answers = [CallAnswer::LateThenStalled(ms(2_500))];
     let fault = |instances| Fault::of_calls("slow, and silence behind it", instances, &answers);
     check([1, 9].map(fault).to_vec());
 }
@@ -152,9 +152,9 @@
 /// Guards against doubt without end in a small fleet: discovery is up, and each call of this process fails, or most do.
 #[test]
 fn calls_that_fail_while_discovery_is_up_keep_no_list_in_use() {
-    use CallAnswer::{BusyLate, Closed, ClosedLate, CutByEnd, Reset, Whole};
+    use CallAnswer::{BusyLate, Closed, ClosedLate, CutByEnd, Reset, WholeList};
     let rows: [(&str, &[CallAnswer]); 7] = [
-        ("each fourth call whole", &[Closed, Reset, ClosedLate, Whole]),
+        ("each fourth call whole", &[Closed, Reset, ClosedLate, WholeList]),
         ("each call closed", &[Closed]),
         ("each call reset", &[Reset]),
         ("each call ended late", &[ClosedLate]),
@@ -172,14 +172,14 @@
 /// seven scenes.
 #[test]
 fn calls_that_bring_no_byte_keep_no_list_in_use_in_a_large_fleet() {
-    use CallAnswer::{Closed, ClosedLate, Late, Reset, Silence, Whole};
+    use CallAnswer::{Closed, ClosedLate, Late, NoAnswer, Reset, WholeList};
     let rows: [(&str, &[CallAnswer]); 7] = [
         ("each call closed", &[Closed]),
         ("each call reset", &[Reset]),
         ("each call ended late", &[ClosedLate]),
-        ("each call silent", &[Silence]),
-        ("each third call whole", &[Closed, Reset, Whole]),
-        ("each fourth call whole", &[Closed, Reset, ClosedLate, Whole]),
+        ("each call silent", &[NoAnswer]),
+        ("each third call whole", &[Closed, Reset, WholeList]),
+        ("each fourth call whole", &[Closed, Reset, ClosedLate, WholeList]),
         ("whole, 2 s late, then closed", &[Late(ms(2_000)), Closed, Closed, Closed, Closed]),
     ];
     check(rows.iter().map(|&(title, answers)| Fault::of_calls(title, LARGE_FLEET, answers)).collect());
@@ -189,11 +189,11 @@
 /// just so to a process.
 #[test]
 fn calls_that_are_turned_away_keep_no_list_in_use_in_a_large_fleet() {
-    use CallAnswer::{BusyAtOnce, BusyLate, Whole};
+    use CallAnswer::{BusyAtOnce, BusyLate, WholeList};
     let rows: [(&str, &[CallAnswer]); 3] = [
         ("each call 503 at once", &[BusyAtOnce]),
         ("each call 503 late", &[BusyLate]),
-        ("each fourth call whole, others 503", &[BusyLate, BusyLate, BusyLate, Whole]),
+        ("each fourth call whole, others 503", &[BusyLate, BusyLate, BusyLate, WholeList]),
     ];
     check(rows.iter().map(|&(title, answers)| Fault::of_calls(title, LARGE_FLEET, answers)).collect());
 }
@@ -206,11 +206,11 @@
         ("closed, new settings", &[CallAnswer::Closed], Duration::ZERO, true),
         (
             "each third whole",
-            &[CallAnswer::Closed, CallAnswer::Reset, CallAnswer::Whole],
+            &[CallAnswer::Closed, CallAnswer::Reset, CallAnswer::WholeList],
             Duration::ZERO,
             false,
         ),
-        ("whole, 3 s behind", &[CallAnswer::Whole], ms(3_000), false),
+        ("whole, 3 s behind", &[CallAnswer::WholeList], ms(3_000), false),
     ];
     let faults = rows.iter().flat_map(|&(title, answers, behind, changes_settings)| {
         let series = Some(Series { behind, changes_settings });
@@ -225,14 +225,14 @@
 fn a_move_to_a_service_that_is_behind_brings_nothing_back() {
     const TOLD_WITHIN: Duration = ms(500);
     let play = |instances| {
-        let scene = Scene::start(Fleet::start(1), instances, 3);
+        let scene = Scenario::start(ListedUpstreams::start(1), instances, 3);
         scene.wait_for_watch();
         thread::sleep(QUIET);
-        let left = scene.discovery.drain(NAMES[0]);
+        let left = scene.discovery.drain(UPSTREAM_NAMES[0]);
         thread::sleep(TOLD_WITHIN);
         scene.reconfigure(scene.discovery.answer_at_another_address(ms(4_000)), false);
-        thread::sleep(TOLD_AFTER);
-        scene.breaks_after(left + TOLD_WITHIN)
+        thread::sleep(NOTIFIED_AFTER);
+        scene.late_arrivals(left + TOLD_WITHIN)
     };
     let playing: Vec<_> = [1, 9].map(|n| thread::spawn(move || play(n))).into();
     let breaks: Vec<usize> = playing.into_iter().map(|p| p.join().unwrap()).collect();
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::late::{narrow, Late};
+use support::late::{listen_with_short_queue, FullQueueUpstream};
 use support::*;
 
 /// Within this a process with a list from before is ready here; the operators' page grants 10 s.
@@ -35,14 +35,14 @@
     address: SocketAddr,
     calls: Arc<AtomicUsize>,
     /// Its queue, where nothing is accepted.
-    _full: Option<Late>,
+    _full: Option<FullQueueUpstream>,
 }
 
 impl SwampedDiscovery {
     fn start(how: Swamped) -> SwampedDiscovery {
         let calls = Arc::new(AtomicUsize::new(0));
         if let Swamped::NeverAccepts = how {
-            let full = Late::fill(narrow());
+            let full = FullQueueUpstream::fill_queue(listen_with_short_queue());
             return SwampedDiscovery { address: full.address, calls, _full: Some(full) };
         }
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -89,12 +89,13 @@
 #[test]
 fn a_process_that_knows_a_list_is_ready_while_discovery_is_swamped() {
     for how in ALL {
-        let up = Upstream::start(|_| ok("x"));
+        let up = Upstream::start(|_| ok_reply("x"));
         let discovery = SwampedDiscovery::start(how);
         let address = free_address();
-        let text = config(address, discovery.address, 1024, &[host("s", up.address, 0, "SERVING")]);
+        let text =
+            config_text(address, discovery.address, 1024, &[host_entry("s", up.address, 0, "SERVING")]);
         let started = Instant::now();
-        let b = Balancer::spawn(address, &text, |_| {});
+        let b = Balancer::start_with_config(address, &text, |_| {});
         let ready = started.elapsed();
         assert!(ready < READY_WITHIN, "{how:?}: ready after {ready:?}");
         let end = Instant::now() + LATE + Duration::from_secs(1);
@@ -102,14 +103,14 @@
         let may_send = how == Swamped::NeverAccepts;
         let mut answered = 0;
         while Instant::now() < end {
-            let answer = b.ask(&look("1.2"));
+            let answer = b.request(&look_request("1.2"));
             assert_eq!(answer.status(), if may_send { 200 } else { 503 }, "{how:?}");
             assert!(may_send || answer.header("retry-after").is_some(), "{how:?}");
             answered += 1;
             thread::sleep(Duration::from_millis(20));
         }
         println!("{how:?}: ready after {ready:?}, {answered} answered");
-        assert_eq!(up.count(), if may_send { answered } else { 0 }, "{how:?}");
+        assert_eq!(up.request_count(), if may_send { answered } else { 0 }, "{how:?}");
     }
 }
 
@@ -131,18 +132,18 @@
 /// Watches a process that knows no list: how often it has called discovery, and the processor time that it took.
 fn watch_unready(how: Swamped, watched: Duration) -> (usize, Duration) {
     let discovery = SwampedDiscovery::start(how);
-    let (address, log) = (free_address(), config_file(""));
-    let text = config(address, discovery.address, 1024, &[]);
+    let (address, log) = (free_address(), write_config_file(""));
+    let text = config_text(address, discovery.address, 1024, &[]);
     let to_log = std::fs::File::options().append(true).open(&log).unwrap();
-    let child = program(&text).stderr(to_log).spawn().unwrap();
+    let child = program_command(&text).stderr(to_log).spawn().unwrap();
     let mut b = Balancer { address, child, config: String::new() };
-    until("the listener", || Client::connect(address).is_some());
+    wait_until("the listener", || Client::connect(address).is_some());
     let end = Instant::now() + watched;
     while Instant::now() < end {
-        assert_eq!(b.ask(READY).status(), 503, "{how:?}");
+        assert_eq!(b.request(READY_REQUEST).status(), 503, "{how:?}");
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(b.ask(&look("0.3")).status(), 503, "{how:?}: whoever waits is answered");
+    assert_eq!(b.request(&look_request("0.3")).status(), 503, "{how:?}: whoever waits is answered");
     assert!(b.child.try_wait().unwrap().is_none(), "{how:?}: it has ended");
     // Calls whose connections never come up are told by the log alone.
     let failed = std::fs::read_to_string(&log).unwrap().matches("the watch on discovery failed").count();
@@ -160,13 +161,15 @@
 
 /// Starts the program with no more descriptors than its configuration says.
 fn start_confined(text: &str, address: SocketAddr) -> Balancer {
-    let file = config_file(text);
+    let file = write_config_file(text);
     let mut command = Command::new("sh");
     let program = env!("CARGO_BIN_EXE_garnettally");
     command.args(["-c", &format!("ulimit -n {DESCRIPTORS} && exec \"$0\""), program]);
     command.env("GW_CONFIG", &file).stdout(std::process::Stdio::null()).stderr(std::process::Stdio::null());
     let b = Balancer { address, child: command.spawn().unwrap(), config: file };
-    until("readiness", || TcpStream::connect(address).is_ok() && b.ask(READY).status() == 200);
+    wait_until("readiness", || {
+        TcpStream::connect(address).is_ok() && b.request(READY_REQUEST).status() == 200
+    });
     b
 }
 
@@ -184,7 +187,7 @@
 
     /// Connects again in the place of each one that was closed.
     fn come_again(&mut self) {
-        for stream in self.open.iter_mut().filter(|s| ended(s)) {
+        for stream in self.open.iter_mut().filter(|s| is_readable(s)) {
             if let Ok(new) = TcpStream::connect(self.address) {
                 *stream = new;
             }
@@ -198,9 +201,13 @@
         while Instant::now() < end {
             self.come_again();
             let asked = Instant::now();
-            let mut client = b.client();
+            let mut client = b.connect();
             // It may be shut unread.
-            let answer = client.stream.write_all(look("1.2").as_bytes()).ok().and_then(|()| client.answer());
+            let answer = client
+                .stream
+                .write_all(look_request("1.2").as_bytes())
+                .ok()
+                .and_then(|()| client.read_answer());
             match answer.map(|a| a.status()) {
                 Some(200) => pressed.served += 1,
                 None => pressed.shut += 1,
@@ -234,12 +241,13 @@
 /// (SIGHUP) with another upstream.
 #[test]
 fn idle_clients_keep_nobody_from_discovery_or_upstreams() {
-    let (before, after) = (Upstream::start(|_| ok("before")), Upstream::start(|_| ok("after")));
+    let (before, after) = (Upstream::start(|_| ok_reply("before")), Upstream::start(|_| ok_reply("after")));
     let away = Discovery::start();
     let address = free_address();
-    let text = config(address, away.address, DESCRIPTORS, &[host("b", before.address, 0, "SERVING")]);
+    let text =
+        config_text(address, away.address, DESCRIPTORS, &[host_entry("b", before.address, 0, "SERVING")]);
     let b = start_confined(&text, address);
-    let (_, watch) = away.watch();
+    let (_, watch) = away.next_watch();
     let mut idle = Idle::fill(address);
     drop((watch, away)); // what calls from now on is accepted once and closed, then refused
     let (used, pressed) = (processor_time(&b), Duration::from_secs(3));
@@ -262,17 +270,17 @@
         std::fs::write(&b.config, &moved).unwrap();
         b.signal("HUP");
     }
-    let (_, mut watch) = back.watch();
-    watch.chunk(&(list(8, true, &[host("a", after.address, 0, "SERVING")]) + "\n"));
-    until("the new list", || {
+    let (_, mut watch) = back.next_watch();
+    watch.write_chunk(&(host_list(8, true, &[host_entry("a", after.address, 0, "SERVING")]) + "\n"));
+    wait_until("the new list", || {
         idle.come_again();
-        b.ask(&look("1.2")).body == b"after"
+        b.request(&look_request("1.2")).body == b"after"
     });
     // And a watch that ends while they fill the descriptors is opened anew.
     drop(watch);
     idle.come_again();
     let asked = Instant::now();
-    back.watch();
+    back.next_watch();
     println!("the next watch after {:?}", asked.elapsed());
     assert!(asked.elapsed() < WATCHED_AGAIN, "{:?}", asked.elapsed());
 }
@@ -285,23 +293,24 @@
 /// The same with new settings, in which a second pool is there beside the first for a while: one watch serves both.
 #[test]
 fn idle_clients_keep_no_second_pool_from_its_watch() {
-    let up = Upstream::start(|_| ok("x"));
+    let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let address = free_address();
-    let text = config(address, discovery.address, DESCRIPTORS, &[host("s", up.address, 0, "SERVING")]);
+    let text =
+        config_text(address, discovery.address, DESCRIPTORS, &[host_entry("s", up.address, 0, "SERVING")]);
     let b = start_confined(&text, address);
-    let (_, watch) = discovery.watch();
+    let (_, watch) = discovery.next_watch();
     let mut idle = Idle::fill(address);
     std::fs::write(&b.config, text.replace("\"Name\":\"look\"", "\"Name\":\"view\"")).unwrap();
     b.signal("HUP");
-    until("the new settings", || {
+    wait_until("the new settings", || {
         idle.come_again();
-        b.ask(&look("1.2").replace("/look/", "/view/")).status() == 200
+        b.request(&look_request("1.2").replace("/look/", "/view/")).status() == 200
     });
     drop(watch);
     idle.come_again();
     let asked = Instant::now();
-    discovery.watch();
+    discovery.next_watch();
     assert!(asked.elapsed() < WATCHED_AGAIN, "{:?}", asked.elapsed());
     assert!(descriptors(&b) + SPARE <= DESCRIPTORS as usize, "{} descriptors", descriptors(&b));
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -41,12 +41,12 @@
 
 /// A node that answers with its name.
 fn named(name: &'static str) -> Upstream {
-    Upstream::start(move |_| ok(name))
+    Upstream::start(move |_| ok_reply(name))
 }
 
 /// An address where nothing listens: connections are refused.
 fn nobody() -> SocketAddr {
-    bound_once("127.0.0.1:0".parse().unwrap())
+    bound_address("127.0.0.1:0".parse().unwrap())
 }
 
 fn body(m: &Message) -> String {
@@ -55,13 +55,13 @@
 
 #[test]
 fn requests_take_their_routes_and_answers_come_back_as_they_are() {
-    let shop = Upstream::start(|m| match m.start.split(' ').next() {
+    let shop = Upstream::start(|m| match m.start_line.split(' ').next() {
         Some("PUT") => {
-            Reply::Bytes(b"HTTP/1.1 201 Created\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok".to_vec())
+            Reply::Send(b"HTTP/1.1 201 Created\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok".to_vec())
         }
-        Some("DELETE") => Reply::Bytes(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()),
-        Some("HEAD") => Reply::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n".to_vec()),
-        _ => ok("shop"),
+        Some("DELETE") => Reply::Send(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()),
+        Some("HEAD") => Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n".to_vec()),
+        _ => ok_reply("shop"),
     });
     let stock = named("stock");
     let text = [
@@ -72,28 +72,32 @@
         route("stock", "look", "/stock", "methods = [\"GET\"]\npool = \"stock\""),
         route("book", "book", "/book", "pool = \"shop\""),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
-    assert_eq!(body(&client.ask(&get("/a"))), "shop");
-    assert_eq!(body(&client.ask(&get("/stock/7?x=1"))), "stock");
-    let got = stock.got.lock().unwrap()[0].clone();
-    assert_eq!(got.start, "GET /stock/7?x=1 HTTP/1.1");
+    let b = OperatedBalancer::start(&text.concat());
+    let mut client = b.connect();
+    assert_eq!(body(&client.request(&get_request("/a"))), "shop");
+    assert_eq!(body(&client.request(&get_request("/stock/7?x=1"))), "stock");
+    let got = stock.received.lock().unwrap()[0].clone();
+    assert_eq!(got.start_line, "GET /stock/7?x=1 HTTP/1.1");
     assert_eq!(got.header("req-id").map(str::len), Some(16), "a request without an id gets one");
-    let answer = client.ask(&get("/a").replace("GET", "PUT"));
+    let answer = client.request(&get_request("/a").replace("GET", "PUT"));
     assert_eq!((answer.status(), answer.header("location"), body(&answer)), (201, Some("/x"), "ok".into()));
-    let answer = client.ask(&get("/a").replace("GET", "DELETE"));
+    let answer = client.request(&get_request("/a").replace("GET", "DELETE"));
     assert_eq!((answer.status(), answer.header("content-length")), (204, None));
-    client.send(&get("/a").replace("GET", "HEAD"));
-    client.send(&get("/stock/8"));
-    let head = client.head().unwrap();
+    client.send(&get_request("/a").replace("GET", "HEAD"));
+    client.send(&get_request("/stock/8"));
+    let head = client.read_head().unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("77")));
-    assert_eq!(body(&client.answer().unwrap()), "stock", "the next answer begins where the head ended");
-    assert_eq!(b.ask(&get("/a/%2e%2E/stock")).status(), 404, "a path that others resolve otherwise");
-    let keyless = post("/book", "").replace("Idempotency-Key: \r\n", "");
-    assert_eq!(b.ask(&keyless).status(), 400);
-    assert_eq!(b.ask(&post("/book", "k1")).status(), 200);
-    let late = get("/a").replace("\r\n\r\n", "\r\nReq-Deadline: soon\r\n\r\n");
-    assert_eq!(b.ask(&late).status(), 400);
+    assert_eq!(body(&client.read_answer().unwrap()), "stock", "the next answer begins where the head ended");
+    assert_eq!(
+        b.request(&get_request("/a/%2e%2E/stock")).status(),
+        404,
+        "a path that others resolve otherwise"
+    );
+    let keyless = post_request("/book", "").replace("Idempotency-Key: \r\n", "");
+    assert_eq!(b.request(&keyless).status(), 400);
+    assert_eq!(b.request(&post_request("/book", "k1")).status(), 200);
+    let late = get_request("/a").replace("\r\n\r\n", "\r\nReq-Deadline: soon\r\n\r\n");
+    assert_eq!(b.request(&late).status(), 400);
 }
 
 /// Guards against a removed pool that takes its requests with it, and against one that never ends.
@@ -102,31 +106,33 @@
     let go = Arc::new(AtomicBool::new(false));
     let waits = go.clone();
     let old = Upstream::start(move |_| {
-        until("leave to answer", || waits.load(Ordering::SeqCst));
-        ok("old")
+        wait_until("leave to answer", || waits.load(Ordering::SeqCst));
+        ok_reply("old")
     });
     let new = named("new");
     let before =
         [TOP.into(), pool("old", &[old.address]), route("book", "book", "/", "pool = \"old\"")].concat();
     let after =
         [TOP.into(), pool("new", &[new.address]), route("book", "book", "/", "pool = \"new\"")].concat();
-    let b = Operated::start(&before);
-    let mut client = b.client();
-    client.send(&post("/x", "k1"));
-    until("the attempt", || old.opened.load(Ordering::SeqCst) > 0 && !b.log().is_empty());
+    let b = OperatedBalancer::start(&before);
+    let mut client = b.connect();
+    client.send(&post_request("/x", "k1"));
+    wait_until("the attempt", || {
+        old.connections_opened.load(Ordering::SeqCst) > 0 && !b.log_text().is_empty()
+    });
     thread::sleep(Duration::from_millis(50));
     b.reload(&after);
-    assert_eq!(body(&b.ask(&post("/x", "k2"))), "new");
+    assert_eq!(body(&b.request(&post_request("/x", "k2"))), "new");
     // The key's window is open, and only the old pool would drop a repeat.
-    let repeat = b.ask(&post("/x", "k1"));
+    let repeat = b.request(&post_request("/x", "k1"));
     assert_eq!(repeat.status(), 503);
     let wait: u64 = repeat.header("retry-after").unwrap().parse().unwrap();
     assert!((1..=20).contains(&wait), "{wait}");
-    assert_eq!(b.logged("the pool has ended"), 0);
+    assert_eq!(b.count_in_log("the pool has ended"), 0);
     go.store(true, Ordering::SeqCst);
-    assert_eq!(body(&client.answer().unwrap()), "old");
-    until("the pool's end", || b.logged("the pool has ended") == 1);
-    assert_eq!((old.count(), new.count()), (1, 1));
+    assert_eq!(body(&client.read_answer().unwrap()), "old");
+    wait_until("the pool's end", || b.count_in_log("the pool has ended") == 1);
+    assert_eq!((old.request_count(), new.request_count()), (1, 1));
 }
 
 #[test]
@@ -134,8 +140,8 @@
     let fail = Arc::new(AtomicBool::new(true));
     let fails = fail.clone();
     let blue = Upstream::start(move |_| match fails.load(Ordering::SeqCst) {
-        true => Reply::Last(Vec::new()),
-        false => ok("blue"),
+        true => Reply::SendAndClose(Vec::new()),
+        false => ok_reply("blue"),
     });
     let green = named("green");
     let text = |blue_weight: u32, green_weight: u32| {
@@ -143,15 +149,15 @@
         let pools = pool_with("blue", &[blue.address], "attempts = 1") + &pool("green", &[green.address]);
         [TOP.into(), pools, route("book", "book", "/", &to)].concat()
     };
-    let b = Operated::start(&text(1, 0));
-    assert_eq!(b.ask(&post("/x", "k1")).status(), 502, "it may have run");
+    let b = OperatedBalancer::start(&text(1, 0));
+    assert_eq!(b.request(&post_request("/x", "k1")).status(), 502, "it may have run");
     fail.store(false, Ordering::SeqCst);
     b.reload(&text(0, 1));
     for _ in 0..5 {
-        assert_eq!(body(&b.ask(&post("/x", "k1"))), "blue");
+        assert_eq!(body(&b.request(&post_request("/x", "k1"))), "blue");
     }
     for i in 2..20 {
-        assert_eq!(body(&b.ask(&post("/x", &format!("k{i}")))), "green");
+        assert_eq!(body(&b.request(&post_request("/x", &format!("k{i}")))), "green");
     }
 }
 
@@ -163,11 +169,11 @@
         let pools = pool_with("p", &[node.address], &format!("attempts = {attempts}"));
         [TOP.into(), pools, route("book", "book", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(2));
-    assert_eq!(body(&b.ask(&post("/x", "k1"))), "node");
+    let b = OperatedBalancer::start(&text(2));
+    assert_eq!(body(&b.request(&post_request("/x", "k1"))), "node");
     b.reload(&text(3));
-    assert!(b.log().contains("pools_replaced: p"), "{}", b.log());
-    assert_eq!(body(&b.ask(&post("/x", "k1"))), "node");
+    assert!(b.log_text().contains("pools_replaced: p"), "{}", b.log_text());
+    assert_eq!(body(&b.request(&post_request("/x", "k1"))), "node");
 }
 
 #[test]
@@ -179,17 +185,17 @@
         let to = "failover = [\"first\", \"reserve\"]";
         [TOP.into(), pools, route("a", "look", "/", to), route("k", "book", "/k", to)].concat()
     };
-    let b = Operated::start(&text(nobody()));
-    let mut client = b.client();
+    let b = OperatedBalancer::start(&text(nobody()));
+    let mut client = b.connect();
     for i in 0..40 {
-        let request = if i % 2 == 0 { get("/x") } else { post("/k", &format!("f{i}")) };
-        assert_eq!(body(&client.ask(&request)), "reserve", "request {i}");
+        let request = if i % 2 == 0 { get_request("/x") } else { post_request("/k", &format!("f{i}")) };
+        assert_eq!(body(&client.request(&request)), "reserve", "request {i}");
     }
-    until("the pool to be left", || b.logged("the pool is left") >= 1);
+    wait_until("the pool to be left", || b.count_in_log("the pool is left") >= 1);
     // The first comes back, at another address; its requests follow after the hold.
     let first = named("first");
     b.reload(&text(first.address));
-    until("the return", || body(&client.ask(&get("/x"))) == "first");
+    wait_until("the return", || body(&client.request(&get_request("/x"))) == "first");
 }
 
 /// Guards against traffic that swings with every flap: each fall lengthens the hold.
@@ -200,9 +206,9 @@
     let flapping = Upstream::start(move |_| {
         first.fetch_add(1, Ordering::SeqCst);
         if flaps.load(Ordering::SeqCst) {
-            ok("flapping")
+            ok_reply("flapping")
         } else {
-            error(500, "")
+            error_reply(500, "")
         }
     });
     let reserve = named("reserve");
@@ -213,20 +219,20 @@
         pool("reserve", &[reserve.address]),
         route("a", "look", "/", "failover = [\"flapping\", \"reserve\"]"),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
+    let b = OperatedBalancer::start(&text.concat());
+    let mut client = b.connect();
     let end = Instant::now() + Duration::from_secs(9);
     let mut failed = 0;
     while Instant::now() < end {
-        failed += u32::from(client.ask(&get("/x")).status() != 200);
+        failed += u32::from(client.request(&get_request("/x")).status() != 200);
         thread::sleep(Duration::from_millis(5));
     }
     // Marks are believed for 5 s, so without the doubling it could be returned to once in about that; each time
     // three failures and what is asked before the next look at its health.
-    let left = b.logged("the pool is left");
+    let left = b.count_in_log("the pool is left");
     assert!((1..=3).contains(&left), "left {left} times");
     assert!(failed <= 80 * left as u32, "{failed} failed");
-    assert!(reserve.count() > 10 * failed as usize, "{} to {failed}", reserve.count());
+    assert!(reserve.request_count() > 10 * failed as usize, "{} to {failed}", reserve.request_count());
 }
 
 #[test]
@@ -239,13 +245,13 @@
         route("alone", "look", "/alone", "pool = \"empty\""),
         route("list", "look", "/list", "failover = [\"empty\", \"reserve\"]"),
     ];
-    let b = Operated::start(&text.concat());
+    let b = OperatedBalancer::start(&text.concat());
     let start = Instant::now();
-    let answer = b.ask(&get("/alone"));
+    let answer = b.request(&get_request("/alone"));
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1"));
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
-    assert_eq!(body(&b.ask(&get("/list"))), "reserve");
+    assert_eq!(body(&b.request(&get_request("/list"))), "reserve");
 }
 
 #[test]
@@ -254,14 +260,14 @@
     let text = |to: &Upstream| {
         [TOP.into(), pool("p", &[to.address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(&one));
+    let b = OperatedBalancer::start(&text(&one));
     let whole = text(&two);
     for cut in [0, 10, whole.len() / 2, whole.len() - 12] {
-        let refused = b.logged("the new version is refused");
-        b.replace(&whole[..cut]);
+        let refused = b.count_in_log("the new version is refused");
+        b.replace_config(&whole[..cut]);
         b.signal("HUP");
-        until("the refusal", || b.logged("the new version is refused") > refused);
-        assert_eq!(body(&b.ask(&get("/"))), "one");
+        wait_until("the refusal", || b.count_in_log("the new version is refused") > refused);
+        assert_eq!(body(&b.request(&get_request("/"))), "one");
     }
     // A writer at work: the file is read only once it rests.
     for end in [10, 60, 150, whole.len()] {
@@ -270,10 +276,10 @@
         b.signal("HUP");
         thread::sleep(Duration::from_millis(10));
     }
-    until("the whole file", || b.logged("the new version is in force") == 1);
-    until("the second node", || body(&b.ask(&get("/"))) == "two");
-    assert_eq!(b.logged("is refused"), 4, "{}", b.log());
-    assert!(b.log().contains("routes"), "the key is told");
+    wait_until("the whole file", || b.count_in_log("the new version is in force") == 1);
+    wait_until("the second node", || body(&b.request(&get_request("/"))) == "two");
+    assert_eq!(b.count_in_log("is refused"), 4, "{}", b.log_text());
+    assert!(b.log_text().contains("routes"), "the key is told");
 }
 
 #[test]
@@ -282,17 +288,17 @@
     let text = |i: usize| {
         [TOP.into(), pool("p", &[nodes[i].address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::start(&text(0));
+    let b = OperatedBalancer::start(&text(0));
     let start = Instant::now();
     b.reload(&text(1));
     b.reload(&text(2));
-    assert!(start.elapsed() < PATIENCE);
-    until("the last version", || body(&b.ask(&get("/"))) == "n2");
-    let gone = nodes[0].count() + nodes[1].count();
+    assert!(start.elapsed() < WAIT_TIMEOUT);
+    wait_until("the last version", || body(&b.request(&get_request("/"))) == "n2");
+    let gone = nodes[0].request_count() + nodes[1].request_count();
     for _ in 0..20 {
-        assert_eq!(body(&b.ask(&get("/"))), "n2");
+        assert_eq!(body(&b.request(&get_request("/"))), "n2");
     }
-    assert_eq!(nodes[0].count() + nodes[1].count(), gone);
+    assert_eq!(nodes[0].request_count() + nodes[1].request_count(), gone);
 }
 
 #[test]
@@ -306,20 +312,23 @@
         text +=
             &route(&format!("r{i}"), "look", &format!("/s{i}/items"), &format!("pool = \"p{}\"", i % 200));
     }
-    let b = Operated::start(&text);
+    let b = OperatedBalancer::start(&text);
     for i in [0, 4_321, 9_999] {
-        assert_eq!(body(&b.ask(&get(&format!("/s{i}/items/7")))), "node");
+        assert_eq!(body(&b.request(&get_request(&format!("/s{i}/items/7")))), "node");
     }
-    assert_eq!(b.ask(&get("/s10000/items")).status(), 404);
+    assert_eq!(b.request(&get_request("/s10000/items")).status(), 404);
     b.reload(&text.replace("/s9999/", "/other/"));
-    assert_eq!((b.ask(&get("/s9999/items")).status(), b.ask(&get("/other/items")).status()), (404, 200));
-    assert!(b.log().contains("pools_kept: 200"), "{}", b.log());
+    assert_eq!(
+        (b.request(&get_request("/s9999/items")).status(), b.request(&get_request("/other/items")).status()),
+        (404, 200)
+    );
+    assert!(b.log_text().contains("pools_kept: 200"), "{}", b.log_text());
 }
 
 #[test]
 fn a_mirror_that_hangs_harms_neither_answers_nor_limits() {
     let node = named("node");
-    let shadow = Upstream::start(|_| Reply::Silence);
+    let shadow = Upstream::start(|_| Reply::NoAnswer);
     let max = "requests = { max = 4 }\nconnections = { max = 3 }";
     let text = [
         TOP.replace("[listeners", "[limits]\nrequests = 8\n[listeners"),
@@ -327,19 +336,20 @@
         pool_with("shadow", &[shadow.address], max),
         route("a", "look", "/", "pool = \"p\"\nmirror = { pool = \"shadow\", share = 1.0 }"),
     ];
-    let b = Operated::start(&text.concat());
-    let mut client = b.client();
+    let b = OperatedBalancer::start(&text.concat());
+    let mut client = b.connect();
     for i in 0..200 {
-        let answer = client.ask(&get("/x"));
+        let answer = client.request(&get_request("/x"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
     }
-    until("copies", || shadow.opened.load(Ordering::SeqCst) > 0);
-    let open = shadow.opened.load(Ordering::SeqCst) - shadow.ended.load(Ordering::SeqCst);
+    wait_until("copies", || shadow.connections_opened.load(Ordering::SeqCst) > 0);
+    let open =
+        shadow.connections_opened.load(Ordering::SeqCst) - shadow.connections_ended.load(Ordering::SeqCst);
     assert!(open <= 3, "{open} connections to the shadow pool");
     let ids: BTreeSet<_> =
-        shadow.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
+        shadow.received.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
     let real: BTreeSet<_> =
-        node.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
+        node.received.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
     assert!(ids.is_subset(&real), "copies are of requests that were served");
     assert_eq!(real.len(), 200);
 }
@@ -347,7 +357,7 @@
 /// Many clients on a route whose nodes hang, while one asks elsewhere.
 #[test]
 fn a_flood_on_one_route_leaves_the_others_their_minimum() {
-    let hung = Upstream::start(|_| Reply::Silence);
+    let hung = Upstream::start(|_| Reply::NoAnswer);
     let node = named("node");
     let text = [
         TOP.replace("[listeners", "[limits]\nrequests = 20\ndescriptors = 128\n[listeners")
@@ -365,16 +375,16 @@
     ];
     // Tables of the same kind may stand anywhere; the listener's share belongs to its own.
     let text = text.concat().replace("window = \"20s\"\nconnections = { min = 0 }\n", "window = \"20s\"\n");
-    let b = Operated::start(&text);
-    let mut flood: Vec<Client> = (0..40).map(|_| b.client()).collect();
+    let b = OperatedBalancer::start(&text);
+    let mut flood: Vec<Client> = (0..40).map(|_| b.connect()).collect();
     let refused = Arc::new(AtomicU32::new(0));
     for client in &mut flood {
-        client.send(&get("/flooded"));
+        client.send(&get_request("/flooded"));
     }
     let counted = refused.clone();
     let readers = thread::spawn(move || {
         for mut client in flood {
-            if let Some(answer) = client.answer() {
+            if let Some(answer) = client.read_answer() {
                 assert!(matches!(answer.status(), 502 | 503), "{}", answer.status());
                 if answer.header("retry-after").is_some() {
                     counted.fetch_add(1, Ordering::SeqCst);
@@ -382,10 +392,10 @@
             }
         }
     });
-    until("the flood", || hung.opened.load(Ordering::SeqCst) > 0);
-    let mut client = b.client();
+    wait_until("the flood", || hung.connections_opened.load(Ordering::SeqCst) > 0);
+    let mut client = b.connect();
     for i in 0..100 {
-        let answer = client.ask(&get("/well"));
+        let answer = client.request(&get_request("/well"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
     }
     readers.join().unwrap();
@@ -395,30 +405,30 @@
 #[test]
 fn a_file_of_nodes_is_followed_and_a_drained_node_gets_nothing_new() {
     let (one, two) = (named("one"), named("two"));
-    let file = config_file("");
+    let file = write_config_file("");
     let node = |u: &Upstream, name: &str, more: &str| {
         format!("[[nodes]]\nname = \"{name}\"\naddress = \"{}\"\n{more}\n", u.address)
     };
     std::fs::write(&file, node(&one, "one", "")).unwrap();
     let pools = format!("[pools.p]\nnodes_file = \"{file}\"\n");
-    let b = Operated::start(&[TOP.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
-    assert_eq!(body(&b.ask(&get("/"))), "one");
+    let b = OperatedBalancer::start(&[TOP.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
+    assert_eq!(body(&b.request(&get_request("/"))), "one");
     std::fs::write(&file, node(&one, "one", "state = \"draining\"") + &node(&two, "two", "")).unwrap();
-    until("the list", || b.logged("nodes read") == 2);
+    wait_until("the list", || b.count_in_log("nodes read") == 2);
     thread::sleep(Duration::from_millis(500));
-    let before = one.count();
+    let before = one.request_count();
     for _ in 0..30 {
-        assert_eq!(body(&b.ask(&get("/"))), "two");
+        assert_eq!(body(&b.request(&get_request("/"))), "two");
     }
-    assert_eq!(one.count(), before);
+    assert_eq!(one.request_count(), before);
     // What can't be read changes nothing, be it spoilt, empty or gone.
     std::fs::write(&file, "[[nodes]]\nname = \"two\"\n").unwrap();
-    until("the refusal", || b.logged("the file of nodes is refused") == 1);
+    wait_until("the refusal", || b.count_in_log("the file of nodes is refused") == 1);
     std::fs::write(&file, "").unwrap();
-    until("the refusal", || b.logged("the file of nodes is refused") == 2);
+    wait_until("the refusal", || b.count_in_log("the file of nodes is refused") == 2);
     std::fs::remove_file(&file).unwrap();
-    until("the warning", || b.logged("the file of nodes is not there") == 1);
-    assert_eq!(body(&b.ask(&get("/"))), "two");
+    wait_until("the warning", || b.count_in_log("the file of nodes is not there") == 1);
+    assert_eq!(body(&b.request(&get_request("/"))), "two");
 }
 
 #[test]
@@ -429,27 +439,29 @@
         let pools = format!("[pools.p]\ndiscovery = \"{}\"\n", d.address);
         [TOP.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let b = Operated::spawn(&text(&first));
-    let (_, mut watch) = first.watch();
-    watch.chunk(&(list(1, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("readiness", || Client::connect(b.address).is_some() && b.ask(READY).status() == 200);
-    assert_eq!(body(&b.ask(&get("/"))), "one");
-    let hosts = [host("one", one.address, 0, "DRAINING"), host("two", two.address, 0, "SERVING")];
-    watch.chunk(&(list(2, false, &hosts) + "\n"));
-    until("the second node", || body(&b.ask(&get("/"))) == "two");
+    let b = OperatedBalancer::spawn(&text(&first));
+    let (_, mut watch) = first.next_watch();
+    watch.write_chunk(&(host_list(1, true, &[host_entry("one", one.address, 0, "SERVING")]) + "\n"));
+    wait_until("readiness", || {
+        Client::connect(b.address).is_some() && b.request(READY_REQUEST).status() == 200
+    });
+    assert_eq!(body(&b.request(&get_request("/"))), "one");
+    let hosts = [host_entry("one", one.address, 0, "DRAINING"), host_entry("two", two.address, 0, "SERVING")];
+    watch.write_chunk(&(host_list(2, false, &hosts) + "\n"));
+    wait_until("the second node", || body(&b.request(&get_request("/"))) == "two");
     thread::sleep(Duration::from_millis(500));
-    let before = one.count();
+    let before = one.request_count();
     for _ in 0..20 {
-        assert_eq!(body(&b.ask(&get("/"))), "two");
+        assert_eq!(body(&b.request(&get_request("/"))), "two");
     }
-    assert_eq!(one.count(), before);
+    assert_eq!(one.request_count(), before);
     // Another service, the same pool: what was learned stays, and the list is that of the new one.
     b.reload(&text(&second));
-    let (start, mut moved) = second.watch();
+    let (start, mut moved) = second.next_watch();
     assert!(start.contains("index=0"), "{start}");
-    moved.chunk(&(list(9, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("the first node again", || body(&b.ask(&get("/"))) == "one");
-    assert!(b.log().contains("pools_kept: 1"), "{}", b.log());
+    moved.write_chunk(&(host_list(9, true, &[host_entry("one", one.address, 0, "SERVING")]) + "\n"));
+    wait_until("the first node again", || body(&b.request(&get_request("/"))) == "one");
+    assert!(b.log_text().contains("pools_kept: 1"), "{}", b.log_text());
 }
 
 #[test]
@@ -458,23 +470,23 @@
     let rest = pool("p", &[node.address]) + &route("a", "look", "/", "pool = \"p\"");
     let other = free_address();
     let with = |more: String| TOP.replace("[classes.look]", &(more + "[classes.look]")) + &rest;
-    let b = Operated::start(&with(String::new()));
+    let b = OperatedBalancer::start(&with(String::new()));
     let second = format!("[listeners.second]\naddress = \"{other}\"\n");
     b.reload(&with(second.clone()));
     let at = |address| Client::connect(address);
     let mut kept = at(other).unwrap();
-    assert_eq!(body(&kept.ask(&get("/"))), "node");
+    assert_eq!(body(&kept.request(&get_request("/"))), "node");
     // An address that is taken refuses the whole version.
     let taken = TcpListener::bind(free_address()).unwrap();
     let third = format!("[listeners.third]\naddress = \"{}\"\n", taken.local_addr().unwrap());
-    b.replace(&with(third));
+    b.replace_config(&with(third));
     b.signal("HUP");
-    until("the refusal", || b.logged("the new version is refused") == 1);
-    assert_eq!(body(&kept.ask(&get("/"))), "node", "the second listener is still in force");
+    wait_until("the refusal", || b.count_in_log("the new version is refused") == 1);
+    assert_eq!(body(&kept.request(&get_request("/"))), "node", "the second listener is still in force");
     b.reload(&with(String::new()));
-    until("its end", || at(other).is_none());
-    assert!(kept.answer().is_none(), "a connection between requests ends with its listener");
-    assert_eq!(body(&b.ask(&get("/"))), "node");
+    wait_until("its end", || at(other).is_none());
+    assert!(kept.read_answer().is_none(), "a connection between requests ends with its listener");
+    assert_eq!(body(&b.request(&get_request("/"))), "node");
 }
 
 /// Every client gets one answer to each request while version after version comes into force.
@@ -498,7 +510,7 @@
 
 fn reload_under_load(time: Duration, least_versions: usize) {
     let nodes: Vec<Upstream> =
-        (0..3).map(|_| Upstream::start(|m| ok(m.header("x-mine").unwrap_or("")))).collect();
+        (0..3).map(|_| Upstream::start(|m| ok_reply(m.header("x-mine").unwrap_or("")))).collect();
     let text = |version: usize| {
         let mut pools = pool("kept", &[nodes[0].address]);
         pools += &pool_with("changed", &[nodes[1].address], &format!("attempts = {}", 2 + version % 3));
@@ -511,7 +523,7 @@
         let top = TOP.replace("[listeners", "[limits]\npins = 1000000\n[listeners");
         [top, pools, route("a", "look", "/", &to), route("k", "book", "/k", &to)].concat()
     };
-    let b = Operated::start(&text(0));
+    let b = OperatedBalancer::start(&text(0));
     let done = Arc::new(AtomicBool::new(false));
     let address = b.address;
     let clients: Vec<_> = (0..4)
@@ -522,9 +534,10 @@
                 let (mut n, mut refused) = (0u64, 0u64);
                 while !done.load(Ordering::SeqCst) {
                     let mine = format!("{c}-{n}");
-                    let plain = if n.is_multiple_of(2) { get("/x") } else { post("/k", &mine) };
+                    let plain =
+                        if n.is_multiple_of(2) { get_request("/x") } else { post_request("/k", &mine) };
                     let request = plain.replacen("\r\n\r\n", &format!("\r\nX-Mine: {mine}\r\n\r\n"), 1);
-                    let answer = client.ask(&request);
+                    let answer = client.request(&request);
                     n += 1;
                     // A machine at its limit may have one refused, which is an answer too; any other must be its own.
                     if answer.status() == 503 && answer.header("retry-after").is_some() {
@@ -540,7 +553,7 @@
     let (start, mut version, mut memory) = (Instant::now(), 0, Vec::new());
     while start.elapsed() < time {
         version += 1;
-        b.replace(&text(version));
+        b.replace_config(&text(version));
         b.signal("HUP");
         thread::sleep(Duration::from_millis(100));
         memory.push(memory_kb(b.child.id()));
@@ -550,10 +563,10 @@
     let refused: u64 = ends.iter().map(|e| e.1).sum();
     let served = ends.iter().map(|e| e.0).sum::<u64>() - refused;
     assert!(refused * 100 <= served, "{refused} refused, {served} served");
-    let in_force = b.logged("the new version is in force");
+    let in_force = b.count_in_log("the new version is in force");
     assert!(in_force >= least_versions, "{in_force} of {version} versions");
-    assert_eq!(b.logged("is refused"), 0, "{}", b.log());
-    let sent: usize = nodes.iter().map(Upstream::count).sum();
+    assert_eq!(b.count_in_log("is refused"), 0, "{}", b.log_text());
+    let sent: usize = nodes.iter().map(Upstream::request_count).sum();
     assert!(sent as u64 >= served && served > 0, "{served} served, {sent} attempts");
     let half = memory.len() / 2;
     // Keys are remembered for 20 s: before half of a minute their memory still grows, as it has to.
@@ -568,7 +581,8 @@
 
 #[test]
 fn request_lines_tell_what_became_of_each_as_json() {
-    let node = Upstream::start(|m| if m.start.contains("/bad") { error(422, "") } else { ok("x") });
+    let node =
+        Upstream::start(|m| if m.start_line.contains("/bad") { error_reply(422, "") } else { ok_reply("x") });
     let text = [
         TOP.replace("[listeners", "[logging]\nformat = \"json\"\nrequests = \"all\"\n[listeners"),
         "[tenants.north]\n".into(),
@@ -577,14 +591,15 @@
         route("a", "look", "/", "pool = \"p\"\ntenant = { header = \"X-Tenant\" }"),
         route("n", "look", "/none", "pool = \"none\""),
     ];
-    let b = Operated::start(&text.concat());
-    let with = |path: &str| get(path).replace("\r\n\r\n", "\r\nX-Tenant: north\r\nReq-Id: mine\r\n\r\n");
-    let mut client = b.client();
-    assert_eq!(client.ask(&with("/x")).status(), 200);
-    assert_eq!(client.ask(&with("/bad")).status(), 422);
-    assert_eq!(client.ask(&with("/none")).status(), 503);
-    until("three lines", || b.logged("\"msg\":\"request\"") == 3);
-    let log = b.log();
+    let b = OperatedBalancer::start(&text.concat());
+    let with =
+        |path: &str| get_request(path).replace("\r\n\r\n", "\r\nX-Tenant: north\r\nReq-Id: mine\r\n\r\n");
+    let mut client = b.connect();
+    assert_eq!(client.request(&with("/x")).status(), 200);
+    assert_eq!(client.request(&with("/bad")).status(), 422);
+    assert_eq!(client.request(&with("/none")).status(), 503);
+    wait_until("three lines", || b.count_in_log("\"msg\":\"request\"") == 3);
+    let log = b.log_text();
     let lines: Vec<serde_json::Value> = log.lines().map(|l| serde_json::from_str(l).unwrap()).collect();
     let requests: Vec<_> = lines.iter().filter(|l| l["msg"] == "request").collect();
     let field = |i: usize, name: &str| requests[i][name].as_str().unwrap_or("").to_string();
@@ -613,12 +628,14 @@
         pool("p", &[node.address]),
         route("a", "look", "/", "pool = \"p\""),
     ];
-    let mut b = Operated::spawn_with(&text.concat(), Some(std::process::Stdio::piped()));
-    until("readiness", || Client::connect(b.address).is_some() && b.ask(READY).status() == 200);
-    let mut client = b.client();
+    let mut b = OperatedBalancer::spawn_with_log_to(&text.concat(), Some(std::process::Stdio::piped()));
+    wait_until("readiness", || {
+        Client::connect(b.address).is_some() && b.request(READY_REQUEST).status() == 200
+    });
+    let mut client = b.connect();
     // Each line is over 100 bytes, and a pipe holds 64 KiB.
     for _ in 0..2_000 {
-        assert_eq!(client.ask(&get("/x")).status(), 200);
+        assert_eq!(client.request(&get_request("/x")).status(), 200);
     }
     let mut log = b.balancer.child.stderr.take().unwrap();
     let reader = thread::spawn(move || {
@@ -626,7 +643,7 @@
         std::io::Read::read_to_string(&mut log, &mut text).map(|_| text)
     });
     b.signal("TERM");
-    assert!(b.balancer.wait().success());
+    assert!(b.balancer.wait_for_exit().success());
     let text = reader.join().unwrap().unwrap();
     let lines = text.matches("outcome: served").count();
     assert!(lines > 100 && lines < 2_000, "{lines} lines");
@@ -637,17 +654,17 @@
 fn sigterm_answers_what_was_taken_and_ends() {
     let node = Upstream::start(|_| {
         thread::sleep(Duration::from_millis(300));
-        ok("late")
+        ok_reply("late")
     });
-    let mut b = Operated::start(
+    let mut b = OperatedBalancer::start(
         &[TOP.into(), pool("p", &[node.address]), route("a", "look", "/", "pool = \"p\"")].concat(),
     );
-    let mut client = b.client();
-    client.send(&get("/"));
-    until("the attempt", || node.opened.load(Ordering::SeqCst) > 0);
+    let mut client = b.connect();
+    client.send(&get_request("/"));
+    wait_until("the attempt", || node.connections_opened.load(Ordering::SeqCst) > 0);
     b.signal("HUP");
     b.signal("TERM");
-    assert_eq!(body(&client.answer().unwrap()), "late");
-    assert_eq!(body(&b.ask(&get("/"))), "late", "it goes on accepting for a while");
-    assert!(b.balancer.wait().success());
+    assert_eq!(body(&client.read_answer().unwrap()), "late");
+    assert_eq!(body(&b.request(&get_request("/"))), "late", "it goes on accepting for a while");
+    assert!(b.balancer.wait_for_exit().success());
 }
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -81,13 +81,13 @@
 
 /// When a departure binds one life of a process, the grace included.
 fn binds_from(course: &Course, process: &ProcessCourse, life: &Life, departure: &Departure) -> Instant {
-    let up = up_for(course, departure.had, TOLD_AFTER);
+    let up = up_for(course, departure.since, TOLD_AFTER);
     let tells = |(at, version): &&(Instant, u32)| *at >= life.started && *version >= departure.version;
     let written = process.written.iter().filter(tells).map(|&(at, _)| at).min();
-    let missed = |s: &&Instant| (**s..**s + SILENCE_MOST).contains(&departure.had) && **s >= life.started;
+    let missed = |s: &&Instant| (**s..**s + SILENCE_MOST).contains(&departure.since) && **s >= life.started;
     let silence = process.silences.iter().find(missed).map(|s| *s + TOLD_AFTER);
     let told = [Some(up), written, silence].into_iter().flatten().min().unwrap_or(up);
-    told.max(departure.had) + GRACE
+    told.max(departure.since) + GRACE
 }
 
 fn life_at(process: &ProcessCourse, at: Instant) -> Option<&Life> {
@@ -106,7 +106,7 @@
         "{id} of process {} at {at:.2?} to {name}, {:.2?} after it binds; left at {:.2?}, life since {:.2?}",
         request.process,
         late + LAG,
-        departure.had - course.started,
+        departure.since - course.started,
         life.started.saturating_duration_since(course.started),
     )))
 }
--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -116,13 +116,13 @@
         let id = message.header("req-id").unwrap_or_default();
         records.arrived(id, Arrival { at: Instant::now(), upstream: number, declined, deadline });
         match change {
-            Some(UpstreamChange::DrainsAndDeclines) => error(503, "Srv-Declined: 1\r\n"),
-            Some(UpstreamChange::Hangs) => Reply::Silence,
-            Some(UpstreamChange::ClosesConnections) => match ok("x") {
-                Reply::Bytes(bytes) => Reply::Last(bytes),
+            Some(UpstreamChange::DrainsAndDeclines) => error_reply(503, "Srv-Declined: 1\r\n"),
+            Some(UpstreamChange::Hangs) => Reply::NoAnswer,
+            Some(UpstreamChange::ClosesConnections) => match ok_reply("x") {
+                Reply::Send(bytes) => Reply::SendAndClose(bytes),
                 other => other,
             },
-            _ => ok("x"),
+            _ => ok_reply("x"),
         }
     })
 }
@@ -134,13 +134,13 @@
 
 impl Process {
     fn start(number: usize, schedule: &Schedule, hosts: &[(&str, SocketAddr)], service: &Service) -> Process {
-        let discovery = ScriptedDiscovery::of(service);
-        let known: Vec<String> = hosts.iter().map(|(name, at)| host(name, *at, 0, "SERVING")).collect();
+        let discovery = ScriptedDiscovery::for_service(service);
+        let known: Vec<String> = hosts.iter().map(|(name, at)| host_entry(name, *at, 0, "SERVING")).collect();
         let address = free_address();
-        let text = config(address, discovery.address, SOCKETS, &known)
+        let text = config_text(address, discovery.address, SOCKETS, &known)
             .replace(SETTINGS, &settings_of(schedule))
             .replace("00000000000000a1", &format!("{:016x}", schedule.seed * 16 + number as u64));
-        let (config, log) = (config_file(&text), config_file(""));
+        let (config, log) = (write_config_file(&text), write_config_file(""));
         let process = Process {
             number,
             address,
@@ -160,12 +160,12 @@
     fn begin_life(&self) {
         let started = Instant::now();
         let to_log = std::fs::File::options().append(true).open(&self.log).unwrap();
-        let child = program_on(&self.config).stderr(to_log).spawn().unwrap();
+        let child = program_command_for_file(&self.config).stderr(to_log).spawn().unwrap();
         let balancer = Balancer { address: self.address, child, config: self.config.clone() };
         *self.balancer.lock().unwrap() = Some(balancer);
         let life = Life { started, ready: None, told_to_end: None, killed: None };
         self.lives.lock().unwrap().push(life);
-        until("readiness", || self.is_ready());
+        wait_until("readiness", || self.is_ready());
         self.lives.lock().unwrap().last_mut().unwrap().ready = Some(Instant::now());
         self.is_open.store(true, Ordering::SeqCst);
     }
@@ -173,8 +173,8 @@
     fn is_ready(&self) -> bool {
         let Some(mut client) = Client::connect(self.address) else { return false };
         client.stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-        client.send(READY);
-        client.answer().is_some_and(|a| a.status() == 200)
+        client.send(READY_REQUEST);
+        client.read_answer().is_some_and(|a| a.status() == 200)
     }
 
     fn signal(&self, name: &str) {
@@ -208,7 +208,7 @@
         thread::sleep(kill.saturating_duration_since(Instant::now()));
         self.lives.lock().unwrap().last_mut().unwrap().killed = Some(Instant::now());
         *self.balancer.lock().unwrap() = None;
-        self.discovery.process_killed();
+        self.discovery.close_watches();
         self.begin_life();
     }
 
@@ -264,7 +264,7 @@
         return None;
     }
     client.stream.set_read_timeout(Some(deadline + LATE_MOST + Duration::from_secs(1))).unwrap();
-    match client.answer() {
+    match client.read_answer() {
         Some(answer) => {
             shared.records.ended(&id, End::Answered { status: answer.status() });
             let closes = answer.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
@@ -301,7 +301,7 @@
                 UpstreamChange::Removed => Some("DELETED"),
                 UpstreamChange::Hangs | UpstreamChange::ClosesConnections => None,
             };
-            health.into_iter().for_each(|health| service.leave(&name_of(upstream), health));
+            health.into_iter().for_each(|health| service.set_leaving(&name_of(upstream), health));
         }
         Event::Signal { process, signal } => {
             let (process, shared) = (processes[process].clone(), shared.clone());
@@ -371,8 +371,8 @@
     clients.into_iter().for_each(|c| drop(c.join()));
     let course = |(process, most): (&Arc<Process>, usize)| ProcessCourse {
         lives: process.lives.lock().unwrap().clone(),
-        written: process.discovery.written(),
-        silences: process.discovery.silences(),
+        written: process.discovery.written_versions(),
+        silences: process.discovery.stalls(),
         descriptors_most: most,
         log: process.log.clone(),
     };
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -125,7 +125,7 @@
         CallAnswer::BusyAtOnce,
         CallAnswer::BusyLate,
         CallAnswer::Reset,
-        CallAnswer::Silence,
+        CallAnswer::NoAnswer,
     ];
     const ENDS: [Option<WatchLoss>; 3] = [None, Some(WatchLoss::Ended), Some(WatchLoss::Ended)];
     let refusal = REFUSALS[random.usize(..REFUSALS.len())];
@@ -142,7 +142,7 @@
     if random.f64() < 0.4 {
         let late = |most| Duration::from_millis(random.u64(..most));
         let [lists, changes] = [3_000, 4_000].map(late);
-        let lateness = Lateness { lists, changes, ends: ENDS[random.usize(..ENDS.len())] };
+        let lateness = Lateness { lists, changes, loss_at_change: ENDS[random.usize(..ENDS.len())] };
         events.push(Timed { at: within_trouble(random), event: Event::Lateness { lateness } });
         let lateness = Lateness::default();
         events.push(Timed { at: TROUBLE_ENDS, event: Event::Lateness { lateness } });
@@ -153,22 +153,22 @@
 fn draw_discovery(random: &mut fastrand::Rng, events: &mut Vec<Timed>) {
     // A connection that is refused is no fault of one process's way: nobody listens, and the service is down for all.
     const ANSWERS: [CallAnswer; 13] = [
-        CallAnswer::Whole,
+        CallAnswer::WholeList,
         CallAnswer::Late(Duration::from_millis(2_000)),
         CallAnswer::Late(Duration::from_millis(3_300)),
         CallAnswer::CutByReset,
         CallAnswer::CutByEnd,
-        CallAnswer::HeadAlone,
+        CallAnswer::HeadOnly,
         CallAnswer::Trickle,
         CallAnswer::Unreadable,
         CallAnswer::BusyAtOnce,
         CallAnswer::BusyLate,
         CallAnswer::Reset,
-        CallAnswer::Silence,
+        CallAnswer::NoAnswer,
         CallAnswer::Closed,
     ];
     const LOSSES: [WatchLoss; 4] =
-        [WatchLoss::Ended, WatchLoss::Reset, WatchLoss::CutLine, WatchLoss::Silent];
+        [WatchLoss::Ended, WatchLoss::Reset, WatchLoss::CutLine, WatchLoss::Stalled];
     for process in 0..PROCESSES {
         for _ in 0..random.usize(1..=2) {
             let answer = ANSWERS[random.usize(..ANSWERS.len())];
@@ -176,7 +176,7 @@
             let event = Event::Discovery { process, answer, loss };
             events.push(Timed { at: within_trouble(random), event });
         }
-        let event = Event::Discovery { process, answer: CallAnswer::Whole, loss: None };
+        let event = Event::Discovery { process, answer: CallAnswer::WholeList, loss: None };
         events.push(Timed { at: TROUBLE_ENDS, event });
     }
 }
--- a/tests/support/scripted.rs
+++ b/tests/support/scripted.rs
@@ -1,8 +1,8 @@
-//! A discovery service as a test directs it. One [`Service`] for all processes of a run holds the list and its versions,
-//! and is up, busy or down for all of them; a [`ScriptedDiscovery`] is how one process reaches it, with faults of its own.
-//! What a list tells may be older than its writing, and a list may be made up long before it is written.
+//! A discovery service that a test directs. One [`Service`] for all processes of a run has the list and its versions, and
+//! is up, busy or down for all of them; a [`ScriptedDiscovery`] is the link of one process to the service, with faults of
+//! its own. A list may show an older version than the current one, and it may be composed long before it is written.
 
-use super::{host, list, Message};
+use super::{host_entry, host_list, Message};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,88 +11,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An empty line comes on each open watch so often.
-const EMPTY_LINES_EVERY: Duration = Duration::from_secs(1);
+/// How long an open watch carries no line before an empty line is written on it.
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Open watches are looked after so often.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// How often open watches, and listeners without a call, are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A call that waits too long is refused after this.
-const REFUSED_LATE: Duration = Duration::from_secs(2);
+/// How long a call waits before a late refusal or a late close.
+const LATE_REFUSAL_DELAY: Duration = Duration::from_secs(2);
 
-/// Between two bytes of an answer that trickles: it lasts for longer than any process waits.
-const TRICKLE_EVERY: Duration = Duration::from_millis(100);
+/// The time between two bytes of an answer that trickles: the whole answer takes longer than any process waits.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The version of the first list.
+/// The version number of the list with which the service starts.
 const FIRST_VERSION: u32 = 8;
 
-/// What becomes of a call.
+/// How a call of a process is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
-    /// The whole list, then a watch.
-    Whole,
-    /// The same, written so long after it was made up.
+    /// The whole list is written, and the watch stays open.
+    WholeList,
+    /// The whole list is written this long after it was composed, and the watch stays open.
     Late(Duration),
-    /// The same, and the watch carries nothing behind it.
-    LateThenSilent(Duration),
-    /// The head and half of the list, then a reset.
+    /// The whole list is written this long after it was composed, and nothing follows on the open watch.
+    LateThenStalled(Duration),
+    /// The head and half of the list are written, then the connection is reset.
     CutByReset,
-    /// The head and half of the list, then an ordinary end.
+    /// The head and half of the list are written, then the connection is closed.
     CutByEnd,
-    /// The head, and nothing behind it.
-    HeadAlone,
-    /// The list, a byte at a time.
+    /// The head is written, and nothing follows.
+    HeadOnly,
+    /// The list is written one byte at a time.
     Trickle,
-    /// A whole list in which no entry has a state that the protocol knows.
+    /// A whole list is written in which no entry has a state that the protocol knows.
     Unreadable,
-    /// 503 at once.
+    /// The call is refused by a 503 at once.
     BusyAtOnce,
-    /// 503 after the call has waited.
+    /// The call is refused by a 503 after it has waited.
     BusyLate,
-    /// A reset before the first byte.
+    /// The connection is reset before the first byte of an answer.
     Reset,
-    /// An ordinary end before the first byte, and the same after the call has waited.
+    /// The connection is closed before the first byte of an answer.
     Closed,
+    /// The connection is closed before the first byte of an answer, after the call has waited.
     ClosedLate,
-    /// Nothing.
-    Silence,
-    /// The connection is refused.
+    /// The connection stays open, and nothing is written.
+    NoAnswer,
+    /// The connection is refused, as nobody listens.
     NoConnection,
 }
 
-/// What the service does, for all who call it.
+/// The state of the service, which is the same for all processes that call it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// Calls end as the link of each process has it.
+    /// Calls are answered as the link of each process says.
     Up,
-    /// It has too much to do: all calls end like this. Open watches go on.
+    /// The service is overloaded: all calls are answered like this. Open watches continue.
     Busy(CallAnswer),
-    /// It is out of reach, all calls end like this, and it learns of what changes meanwhile when it returns.
+    /// The service is unreachable: all calls end like this, and changes of hosts are applied when it returns.
     Down(CallAnswer),
 }
 
 /// How open watches are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchLoss {
-    /// They end between two lines.
+    /// The watches are closed between two lines.
     Ended,
-    /// They are reset.
+    /// The watches are reset.
     Reset,
-    /// They end behind half a line on the change to come.
+    /// The watches are closed after half of a line that announces a change.
     CutLine,
-    /// They stay open and carry nothing any more.
-    Silent,
+    /// The watches stay open, and nothing more is written on them.
+    Stalled,
 }
 
-/// How late the service tells what it has.
+/// How late the service sends what it has.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lateness {
-    /// A list tells what was so this long before it is made up.
+    /// The age, at the time when a list is composed, of the version that the list shows.
     pub lists: Duration,
-    /// A change is told on open watches this long after the service had it.
+    /// How long after the service has a change it is written on open watches.
     pub changes: Duration,
-    /// A watch ends like this in place of telling a change.
-    pub ends: Option<WatchLoss>,
+    /// How a watch is lost at the time when a change would be written on it; with `None` the change is written.
+    pub loss_at_change: Option<WatchLoss>,
 }
 
 #[derive(Clone)]
@@ -102,23 +103,26 @@
     health: &'static str,
 }
 
-/// The list as the service has had it since some time.
+/// A version of the list.
 #[derive(Clone)]
 struct Version {
-    had: Instant,
+    /// When the service got this version.
+    since: Instant,
     number: u32,
     hosts: Vec<Host>,
 }
 
-/// A host that has left, since when the service has had that, and in which version.
+/// A host that drains or was deleted.
 #[derive(Clone, Debug)]
 pub struct Departure {
     pub name: String,
-    pub had: Instant,
+    /// When the service got the change.
+    pub since: Instant,
+    /// The first version of the list that shows the change.
     pub version: u32,
 }
 
-/// From this time on the service is in this state.
+/// A state of the service and the time at which it begins; it lasts until the next phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub from: Instant,
@@ -130,8 +134,8 @@
     departures: Vec<Departure>,
     phases: Vec<Phase>,
     lateness: Lateness,
-    /// Hosts whose health has changed while the service was down.
-    missed: Vec<(String, &'static str)>,
+    /// The changes of the health of hosts that came while the service was down.
+    pending_changes: Vec<(String, &'static str)>,
 }
 
 impl ServiceInner {
@@ -139,44 +143,45 @@
         self.phases.last().map_or(ServiceState::Up, |p| p.state)
     }
 
-    /// The newest version that is at least so old.
+    /// The newest version that the service has had for at least `age`; the first version if none is as old.
     fn version_before(&self, age: Duration) -> Version {
-        let shown = self.versions.iter().rev().find(|v| v.had.elapsed() >= age);
+        let shown = self.versions.iter().rev().find(|v| v.since.elapsed() >= age);
         shown.unwrap_or(&self.versions[0]).clone()
     }
 
-    fn change(&mut self, name: &str, health: &'static str) {
+    /// Makes a new version in which a host has this health; while the service is down, only records the change.
+    fn set_health(&mut self, name: &str, health: &'static str) {
         if matches!(self.state(), ServiceState::Down(_)) {
-            return self.missed.push((name.to_string(), health));
+            return self.pending_changes.push((name.to_string(), health));
         }
         let mut version = self.version_before(Duration::ZERO);
-        (version.had, version.number) = (Instant::now(), version.number + 1);
+        (version.since, version.number) = (Instant::now(), version.number + 1);
         let Some(h) = version.hosts.iter_mut().find(|h| h.name == name) else { panic!("no host {name}") };
         h.health = health;
         if health != "SERVING" {
-            let (had, version) = (version.had, version.number);
-            self.departures.push(Departure { name: name.to_string(), had, version });
+            let (since, version) = (version.since, version.number);
+            self.departures.push(Departure { name: name.to_string(), since, version });
         }
         self.versions.push(version);
     }
 }
 
-/// The service, shared by all processes of a run.
+/// The discovery service, shared by all processes of a run.
 #[derive(Clone)]
 pub struct Service(Arc<Mutex<ServiceInner>>);
 
 impl Service {
-    /// One that lists these as serving.
+    /// Starts a service whose first version lists these hosts as serving.
     pub fn start(hosts: &[(&str, SocketAddr)]) -> Service {
         let hosts =
             hosts.iter().map(|&(name, address)| Host { name: name.to_string(), address, health: "SERVING" });
-        let (had, hosts) = (Instant::now(), hosts.collect());
+        let (since, hosts) = (Instant::now(), hosts.collect());
         Service(Arc::new(Mutex::new(ServiceInner {
-            versions: vec![Version { had, number: FIRST_VERSION, hosts }],
+            versions: vec![Version { since, number: FIRST_VERSION, hosts }],
             departures: Vec::new(),
-            phases: vec![Phase { from: had, state: ServiceState::Up }],
+            phases: vec![Phase { from: since, state: ServiceState::Up }],
             lateness: Lateness::default(),
-            missed: Vec::new(),
+            pending_changes: Vec::new(),
         })))
     }
 
@@ -184,63 +189,71 @@
         self.0.lock().unwrap()
     }
 
-    /// Never asked for under the lock of a link: those who tend the watches hold both, the service's first.
+    /// Must not be called under the lock of a link: the thread that updates watches takes both locks, that of the service
+    /// first, so that the other order would be a deadlock.
     fn state(&self) -> ServiceState {
         self.inner().state()
     }
 
-    /// It is in this state from now on.
+    /// Puts the service into this state from now on.
     pub fn set_state(&self, state: ServiceState) {
         let mut inner = self.inner();
         inner.phases.push(Phase { from: Instant::now(), state });
         if !matches!(state, ServiceState::Down(_)) {
-            let missed = std::mem::take(&mut inner.missed);
-            missed.into_iter().for_each(|(name, health)| inner.change(&name, health));
+            let changes = std::mem::take(&mut inner.pending_changes);
+            changes.into_iter().for_each(|(name, health)| inner.set_health(&name, health));
         }
     }
 
-    /// It tells this late from now on.
+    /// Sets how late the service sends lists and changes from now on.
     pub fn set_lateness(&self, lateness: Lateness) {
         self.inner().lateness = lateness;
     }
 
-    /// Has a host leave in this state, `DRAINING` or `DELETED`.
-    pub fn leave(&self, name: &str, health: &'static str) {
-        self.inner().change(name, health);
+    /// Lists a host as `DRAINING` or `DELETED`.
+    pub fn set_leaving(&self, name: &str, health: &'static str) {
+        self.inner().set_health(name, health);
     }
 
+    /// The hosts that have left, in the order in which the service got the changes.
     pub fn departures(&self) -> Vec<Departure> {
         self.inner().departures.clone()
     }
 
+    /// The states that the service has been in, the first one first.
     pub fn phases(&self) -> Vec<Phase> {
         self.inner().phases.clone()
     }
 }
 
+/// An open watch, on which changes are written.
 struct OpenWatch {
     stream: TcpStream,
-    /// What is told on it is so old.
+    /// The age of what is written on this watch, on top of the service's lateness.
     behind: Duration,
-    told: u32,
-    /// When its last line was written.
-    last_line: Instant,
+    /// The last version written on this watch.
+    version: u32,
+    /// When the last line was written on this watch.
+    last_line_at: Instant,
 }
 
+/// The state of one process's link to the service.
 struct Link {
-    /// How calls end, one after the other and from the start again.
+    /// How calls are answered, in turn and then from the first again.
     answers: Vec<CallAnswer>,
+    /// When calls arrived.
     calls: Vec<Instant>,
     watches: Vec<OpenWatch>,
-    /// Open watches that carry nothing any more, and since when.
-    silent: Vec<TcpStream>,
-    silences: Vec<Instant>,
-    /// Versions that were written whole, and when.
+    /// Open watches on which nothing more is written.
+    stalled: Vec<TcpStream>,
+    /// When each watch stalled.
+    stalls: Vec<Instant>,
+    /// The versions that were written completely, and when.
     written: Vec<(Instant, u32)>,
 }
 
 impl Link {
-    /// How the next call ends, if the service is up.
+    /// How the next call is answered if the service is up.
     fn next_answer(&self) -> CallAnswer {
         self.answers[self.calls.len() % self.answers.len()]
     }
@@ -251,22 +264,23 @@
         }
     }
 
+    /// Loses one watch.
     fn lose(&mut self, mut stream: TcpStream, how: WatchLoss) {
         match how {
             WatchLoss::Ended => {}
-            WatchLoss::Reset => reset(&stream),
+            WatchLoss::Reset => reset_on_close(&stream),
             WatchLoss::CutLine => {
                 let _ = stream.write_all(b"80\r\n{\"seq\":99,\"whole\":false,\"hosts\":[{\"ho");
             }
-            WatchLoss::Silent => {
-                self.silent.push(stream);
-                self.silences.push(Instant::now());
+            WatchLoss::Stalled => {
+                self.stalled.push(stream);
+                self.stalls.push(Instant::now());
             }
         }
     }
 }
 
-/// One process's way to the service.
+/// The link of one process to the service: an address at which the service answers this process alone.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     pub service: Service,
@@ -275,19 +289,19 @@
 }
 
 impl ScriptedDiscovery {
-    /// The way to a service of its own, which lists these as serving.
+    /// A link to a new service that lists these hosts as serving.
     pub fn start(hosts: &[(&str, SocketAddr)]) -> ScriptedDiscovery {
-        ScriptedDiscovery::of(&Service::start(hosts))
+        ScriptedDiscovery::for_service(&Service::start(hosts))
     }
 
-    /// A way to this service.
-    pub fn of(service: &Service) -> ScriptedDiscovery {
+    /// A link to this service.
+    pub fn for_service(service: &Service) -> ScriptedDiscovery {
         let link = Link {
-            answers: vec![CallAnswer::Whole],
+            answers: vec![CallAnswer::WholeList],
             calls: Vec::new(),
             watches: Vec::new(),
-            silent: Vec::new(),
-            silences: Vec::new(),
+            stalled: Vec::new(),
+            stalls: Vec::new(),
             written: Vec::new(),
         };
         let listener = listen(super::free_address());
@@ -302,19 +316,20 @@
         let (service, link, is_over) = (service.clone(), discovery.link.clone(), discovery.is_over.clone());
         thread::spawn(move || {
             while !is_over.load(Ordering::SeqCst) {
-                thread::sleep(LOOK_EVERY);
-                tend_watches(&service.inner(), &mut link.lock().unwrap());
+                thread::sleep(POLL_INTERVAL);
+                update_watches(&service.inner(), &mut link.lock().unwrap());
             }
         });
         discovery
     }
 
+    /// Answers calls on a listener in a thread of its own.
     fn serve(&self, listener: TcpListener, behind: Duration) {
         let (service, link, is_over) = (self.service.clone(), self.link.clone(), self.is_over.clone());
         thread::spawn(move || accept_calls(listener, &service, &link, &is_over, behind));
     }
 
-    /// Another address at which the service answers; lists there are those of so long before.
+    /// Opens another address at which the service answers, with lists that are older by `behind`.
     pub fn answer_at_another_address(&self, behind: Duration) -> SocketAddr {
         let listener = listen(super::free_address());
         let address = listener.local_addr().unwrap();
@@ -326,24 +341,24 @@
         self.link.lock().unwrap()
     }
 
-    /// Calls of this process are answered so from now on.
+    /// Sets how calls of this process are answered from now on.
     pub fn answer_calls(&self, answer: CallAnswer) {
         self.answer_calls_in_turn(&[answer]);
     }
 
-    /// Calls of this process are answered like this, one after the other and from the start again.
+    /// Sets how calls of this process are answered from now on: in turn, and then from the first again.
     pub fn answer_calls_in_turn(&self, answers: &[CallAnswer]) {
         let mut link = self.link();
         link.answers = answers.to_vec();
-        // The next call gets the first of them.
+        // The next call gets the first of these answers.
         let calls = link.calls.len();
         link.answers.rotate_right(calls % answers.len());
     }
 
-    /// Has a host drain, as far as the service is concerned.
+    /// Lists a host as draining; returns the time just before.
     pub fn drain(&self, name: &str) -> Instant {
         let at = Instant::now();
-        self.service.leave(name, "DRAINING");
+        self.service.set_leaving(name, "DRAINING");
         at
     }
 
@@ -352,26 +367,26 @@
         self.link().lose_watches(how);
     }
 
-    /// The process has been killed: its watches are no more.
-    pub fn process_killed(&self) {
+    /// Closes all watches, as the process has been killed.
+    pub fn close_watches(&self) {
         let mut link = self.link();
         link.watches.clear();
-        link.silent.clear();
+        link.stalled.clear();
     }
 
-    /// When calls came, the first ones first.
+    /// The times at which calls arrived, the first one first.
     pub fn calls(&self) -> Vec<Instant> {
         self.link().calls.clone()
     }
 
-    /// Which versions were written whole, and when.
-    pub fn written(&self) -> Vec<(Instant, u32)> {
+    /// The versions that were written completely, and when.
+    pub fn written_versions(&self) -> Vec<(Instant, u32)> {
         self.link().written.clone()
     }
 
-    /// When open watches fell silent.
-    pub fn silences(&self) -> Vec<Instant> {
-        self.link().silences.clone()
+    /// The times at which open watches stalled.
+    pub fn stalls(&self) -> Vec<Instant> {
+        self.link().stalls.clone()
     }
 
     pub fn has_watch(&self) -> bool {
@@ -385,49 +400,51 @@
     }
 }
 
-/// Writes what has changed, or an empty line, or ends a watch in place of both.
-fn tend_watches(service: &ServiceInner, link: &mut Link) {
+/// Writes on each watch what has changed, or an empty line when one is due; a watch may be lost instead of a change.
+fn update_watches(service: &ServiceInner, link: &mut Link) {
     if let ServiceState::Down(_) = service.state() {
         return link.lose_watches(WatchLoss::Reset);
     }
     for mut watch in std::mem::take(&mut link.watches) {
         let shown = service.version_before(service.lateness.changes + watch.behind);
-        let is_written = if watch.told < shown.number {
-            if let Some(how) = service.lateness.ends {
+        let is_written = if watch.version < shown.number {
+            if let Some(how) = service.lateness.loss_at_change {
                 link.lose(watch.stream, how);
                 continue;
             }
-            let before = service.versions.iter().find(|v| v.number == watch.told);
+            let before = service.versions.iter().find(|v| v.number == watch.version);
             let changed = shown.hosts.iter().filter(|h| {
                 let old = before.and_then(|v| v.hosts.iter().find(|old| old.name == h.name));
                 old.is_none_or(|old| old.health != h.health)
             });
-            let entries: Vec<String> = changed.map(|h| entry(h, false)).collect();
-            watch.told = shown.number;
+            let entries: Vec<String> = changed.map(|h| entry_of(h, false)).collect();
+            watch.version = shown.number;
             link.written.push((Instant::now(), shown.number));
-            write_chunk(&mut watch.stream, &(list(shown.number, false, &entries) + "\n"))
-        } else if watch.last_line.elapsed() >= EMPTY_LINES_EVERY {
+            write_chunk(&mut watch.stream, &(host_list(shown.number, false, &entries) + "\n"))
+        } else if watch.last_line_at.elapsed() >= EMPTY_LINE_INTERVAL {
             write_chunk(&mut watch.stream, "\n")
         } else {
             link.watches.push(watch);
             continue;
         };
-        watch.last_line = Instant::now();
+        watch.last_line_at = Instant::now();
         if is_written.is_ok() {
             link.watches.push(watch);
         }
     }
 }
 
-fn entry(h: &Host, is_unreadable: bool) -> String {
-    host(&h.name, h.address, 0, if is_unreadable { "RESTING" } else { h.health })
+/// The entry of a host, or one with an unknown state.
+fn entry_of(h: &Host, is_unreadable: bool) -> String {
+    host_entry(&h.name, h.address, 0, if is_unreadable { "RESTING" } else { h.health })
 }
 
 fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
-fn reset(stream: &TcpStream) {
+/// Has the connection reset when it is closed.
+fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -440,7 +457,7 @@
     socket.into()
 }
 
-/// Takes calls until the discovery is dropped; while connections are refused, nobody listens.
+/// Accepts calls until the link is dropped; while connections are to be refused, no listener is open.
 fn accept_calls(
     listener: TcpListener,
     service: &Service,
@@ -456,21 +473,21 @@
         match (&listener, is_refusing) {
             (Some(_), true) => listener = None,
             (None, false) => listener = Some(listen(address)),
-            (None, true) => thread::sleep(LOOK_EVERY),
+            (None, true) => thread::sleep(POLL_INTERVAL),
             (Some(l), false) => match l.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
                     let (service, link) = (service.clone(), link.clone());
-                    thread::spawn(move || take_call(stream, &service, &link, behind));
+                    thread::spawn(move || handle_call(stream, &service, &link, behind));
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(LOOK_EVERY),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(POLL_INTERVAL),
                 Err(_) => {}
             },
         }
     }
 }
 
-/// How the next call ends: the state of the service goes before the link's.
+/// How the next call is answered: the state of the service takes precedence over the answers of the link.
 fn next_answer(state: ServiceState, link: &Link) -> CallAnswer {
     match state {
         ServiceState::Up => link.next_answer(),
@@ -478,8 +495,8 @@
     }
 }
 
-/// Reads a call and answers it; errors mean that the caller has gone.
-fn take_call(mut stream: TcpStream, service: &Service, link: &Mutex<Link>, behind: Duration) {
+/// Reads a call and answers it. Write errors are ignored: they mean that the caller has closed the connection.
+fn handle_call(mut stream: TcpStream, service: &Service, link: &Mutex<Link>, behind: Duration) {
     if Message::read(&mut BufReader::new(stream.try_clone().unwrap())).is_none() {
         return;
     }
@@ -495,8 +512,8 @@
         service.version_before(service.lateness.lists + behind)
     };
     let entries: Vec<String> =
-        shown.hosts.iter().map(|h| entry(h, answer == CallAnswer::Unreadable)).collect();
-    let list = list(shown.number, true, &entries) + "\n";
+        shown.hosts.iter().map(|h| entry_of(h, answer == CallAnswer::Unreadable)).collect();
+    let list = host_list(shown.number, true, &entries) + "\n";
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let half = format!("{head}{:x}\r\n{}", list.len(), &list[..list.len() / 2]);
     let busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -504,49 +521,49 @@
         let mut link = link.lock().unwrap();
         if stream.write_all(head.as_bytes()).and_then(|()| write_chunk(&mut stream, &list)).is_ok() {
             link.written.push((Instant::now(), shown.number));
-            let (told, last_line) = (shown.number, Instant::now());
-            link.watches.push(OpenWatch { stream, behind, told, last_line });
+            let (version, last_line_at) = (shown.number, Instant::now());
+            link.watches.push(OpenWatch { stream, behind, version, last_line_at });
         }
     };
     let written = match answer {
-        CallAnswer::Whole => return open_watch(stream),
+        CallAnswer::WholeList => return open_watch(stream),
         CallAnswer::Late(wait) => {
             thread::sleep(wait);
             return open_watch(stream);
         }
-        CallAnswer::LateThenSilent(wait) => {
+        CallAnswer::LateThenStalled(wait) => {
             thread::sleep(wait);
             open_watch(stream);
-            return link.lock().unwrap().lose_watches(WatchLoss::Silent);
+            return link.lock().unwrap().lose_watches(WatchLoss::Stalled);
         }
         CallAnswer::CutByReset => {
             let written = stream.write_all(half.as_bytes());
-            // The caller reads what has come before it finds the reset.
+            // Gives the caller time to read these bytes before it gets the reset.
             thread::sleep(Duration::from_millis(50));
-            reset(&stream);
+            reset_on_close(&stream);
             written
         }
         CallAnswer::CutByEnd => stream.write_all(half.as_bytes()),
-        CallAnswer::HeadAlone => stream.write_all(head.as_bytes()).map(|()| wait_for_end(&mut stream)),
+        CallAnswer::HeadOnly => stream.write_all(head.as_bytes()).map(|()| wait_for_end(&mut stream)),
         CallAnswer::Trickle => return trickle(&mut stream, head, &list),
         CallAnswer::Unreadable => stream
             .write_all(format!("{head}{:x}\r\n{list}\r\n", list.len()).as_bytes())
             .map(|()| wait_for_end(&mut stream)),
         CallAnswer::BusyAtOnce => stream.write_all(busy.as_bytes()),
         CallAnswer::BusyLate => {
-            thread::sleep(REFUSED_LATE);
+            thread::sleep(LATE_REFUSAL_DELAY);
             stream.write_all(busy.as_bytes())
         }
         CallAnswer::Reset | CallAnswer::NoConnection => {
-            reset(&stream);
+            reset_on_close(&stream);
             Ok(())
         }
         CallAnswer::Closed => Ok(()),
         CallAnswer::ClosedLate => {
-            thread::sleep(REFUSED_LATE);
+            thread::sleep(LATE_REFUSAL_DELAY);
             Ok(())
         }
-        CallAnswer::Silence => {
+        CallAnswer::NoAnswer => {
             wait_for_end(&mut stream);
             Ok(())
         }
@@ -554,17 +571,19 @@
     drop(written);
 }
 
+/// Writes an answer one byte at a time, until the caller closes the connection.
 fn trickle(stream: &mut TcpStream, head: &str, list: &str) {
     let text = format!("{head}{:x}\r\n{list}\r\n", list.len());
     for byte in text.as_bytes() {
         if stream.write_all(&[*byte]).is_err() {
             return;
         }
-        thread::sleep(TRICKLE_EVERY);
+        thread::sleep(TRICKLE_INTERVAL);
     }
 }
 
+/// Waits until the caller closes the connection.
 fn wait_for_end(stream: &mut TcpStream) {
-    let _ = stream.set_read_timeout(Some(super::PATIENCE));
+    let _ = stream.set_read_timeout(Some(super::WAIT_TIMEOUT));
     let _ = std::io::copy(stream, &mut std::io::sink());
 }
--- a/tests/swamped.rs
+++ b/tests/swamped.rs
@@ -248,8 +248,8 @@
         self.arrivals.lock().unwrap().push((sender(message), Instant::now()));
         let since = *self.since.lock().unwrap();
         match since.is_some_and(|since| since.elapsed() > GRACE) && !self.goes_on_serving {
-            true => error(503, "Srv-Declined: 1\r\n"),
-            false => ok("x"),
+            true => error_reply(503, "Srv-Declined: 1\r\n"),
+            false => ok_reply("x"),
         }
     }
 
@@ -277,26 +277,28 @@
 
 /// The number in the path, which [`request_of`] has written there.
 fn sender(message: &Message) -> usize {
-    let number = message.start.split("/look/p").nth(1).and_then(|rest| rest.split('?').next());
+    let number = message.start_line.split("/look/p").nth(1).and_then(|rest| rest.split('?').next());
     number.expect("a path with a number").parse().unwrap()
 }
 
 fn request_of(process: usize) -> String {
-    look("1.2").replace("/look/part?", &format!("/look/p{process}?"))
+    look_request("1.2").replace("/look/part?", &format!("/look/p{process}?"))
 }
 
 fn start_processes(discovery: &SharedDiscovery, instances: usize, known: &[String]) -> Vec<Balancer> {
     let start = |(me, at): (usize, &SocketAddr)| {
         let address = free_address();
         let told = format!(r#""Me":{me},"NInstances":{instances}"#);
-        let text = config(address, *at, 1024, known).replace(r#""Me":0,"NInstances":1"#, &told);
+        let text = config_text(address, *at, 1024, known).replace(r#""Me":0,"NInstances":1"#, &told);
         let text = text.replace("00000000000000a1", &format!("{:016x}", 0xa1 + me));
-        let config = config_file(&text);
-        Balancer { address, child: program_on(&config).spawn().unwrap(), config }
+        let config = write_config_file(&text);
+        Balancer { address, child: program_command_for_file(&config).spawn().unwrap(), config }
     };
     let all: Vec<Balancer> = discovery.addresses.iter().enumerate().map(start).collect();
     for b in &all {
-        until("readiness", || TcpStream::connect(b.address).is_ok() && b.ask(READY).status() == 200);
+        wait_until("readiness", || {
+            TcpStream::connect(b.address).is_ok() && b.request(READY_REQUEST).status() == 200
+        });
     }
     all
 }
@@ -308,7 +310,7 @@
         while !stop.load(Ordering::SeqCst) {
             let answer = client.as_mut().and_then(|c| {
                 c.send(&request_of(process));
-                c.answer()
+                c.read_answer()
             });
             sent += 1;
             served += usize::from(answer.as_ref().is_some_and(|a| a.status() == 200));
@@ -357,23 +359,23 @@
 impl Scene {
     fn start(limits: RegistryLimits, instances: usize, draining: Draining) -> Scene {
         let drains = draining.start_upstream();
-        let stay = [Upstream::start(|_| ok("x")), Upstream::start(|_| ok("x"))];
-        let serving = |name: &str, up: &Upstream| host(name, up.address, 0, "SERVING");
+        let stay = [Upstream::start(|_| ok_reply("x")), Upstream::start(|_| ok_reply("x"))];
+        let serving = |name: &str, up: &Upstream| host_entry(name, up.address, 0, "SERVING");
         let known = [serving("d", &drains), serving("s0", &stay[0]), serving("s1", &stay[1])];
         let discovery = SharedDiscovery::start(PROCESSES, limits);
         let processes = start_processes(&discovery, instances, &known);
         let stop = Arc::new(AtomicBool::new(false));
         let send = |(n, b): (usize, &Balancer)| send_requests(n, b.address, stop.clone());
         let clients = processes.iter().enumerate().map(send).collect();
-        assert_eq!(discovery.wait_for_watches(PATIENCE), PROCESSES, "watches before the trouble");
+        assert_eq!(discovery.wait_for_watches(WAIT_TIMEOUT), PROCESSES, "watches before the trouble");
         Scene { discovery, draining, drains, stop, clients, _processes: processes, _stay: stay }
     }
 
     /// The upstream drains from now on, and discovery knows.
     fn drain(&self) {
-        let entries = [host("d", self.drains.address, 0, "DRAINING")];
+        let entries = [host_entry("d", self.drains.address, 0, "DRAINING")];
         *self.draining.since.lock().unwrap() = Some(Instant::now());
-        self.discovery.state().change(list(KNOWN_VERSION + 1, false, &entries) + "\n");
+        self.discovery.state().change(host_list(KNOWN_VERSION + 1, false, &entries) + "\n");
     }
 
     /// Ends the requests, and checks that the upstream was left in time.
