--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! The rare moments, forced: one side is held at a known state until the other thing has happened.
+//! Races that are rare in operation, forced: one side is stopped in a known state until the other event has
+//! happened.
 
 mod support;
 
@@ -11,42 +12,46 @@
 use support::late::{listen_with_short_queue, received_text, FullQueueUpstream, LONG_DIAL_WITHOUT_CANCEL};
 use support::*;
 
-/// Guards against work for nobody where the settings don't allow attempts to be cancelled: the client has left while
-/// the connection was on its way, and the request was written when it came up.
+/// Guards against useless work where the settings don't allow attempts to be cancelled: the client left while
+/// the connection to the upstream was being established, and the request was still written when it was
+/// established.
 #[test]
-fn what_waits_for_its_connection_is_not_sent_for_a_client_that_left() {
+fn a_request_waiting_for_its_connection_is_not_sent_once_its_client_has_left() {
     let up = FullQueueUpstream::start();
     let discovery = Discovery::start();
-    let b = start_with_settings(
+    let balancer = start_with_settings(
         &discovery,
         &[host_entry("s", up.address, 0, "SERVING")],
         &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
     );
-    let mut client = b.connect();
+    let mut client = balancer.connect();
     client.send(&book_request("6", "x"));
     wait_until("an attempt that waits for its connection", || up.has_waiting_connection());
     drop(client);
     let left = Instant::now();
-    wait_until("the attempt given up", || !up.has_waiting_connection());
-    assert!(left.elapsed() < Duration::from_secs(3), "{:?}: its own time was up", left.elapsed());
+    wait_until("the end of that attempt", || !up.has_waiting_connection());
+    assert!(left.elapsed() < Duration::from_secs(3), "{:?}: as late as its deadline", left.elapsed());
     assert_eq!(received_text(&up.accept_connections()), "");
 }
 
-/// Guards against a second effect: the repeat was decided on inside the key's window, and its connection came up
-/// after that (the short days' `duplicate`).
+/// Guards against a second effect of a keyed request (the `duplicate` of the short days): the repeat was
+/// decided on inside the window of the key, and its connection was established after the window.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn a_repeat_whose_connection_is_established_after_the_key_window_is_not_written() {
     let late = FullQueueUpstream::start();
-    // The first attempt may have run; it ends once, and the repeat goes to the other one of the cell.
+    // The first attempt may have run and ends without an answer; the repeat goes to the other upstream of the
+    // cell.
     let first = Upstream::start(|_| Reply::SendAndClose(Vec::new()));
     let discovery = Discovery::start();
-    let s = settings_with(&LONG_DIAL_WITHOUT_CANCEL).replace("\"WindowUs\":10000000", "\"WindowUs\":300000");
+    let settings =
+        settings_with(&LONG_DIAL_WITHOUT_CANCEL).replace("\"WindowUs\":10000000", "\"WindowUs\":300000");
     let hosts = [host_entry("f", first.address, 0, "SERVING"), host_entry("l", late.address, 0, "SERVING")];
-    let b = start_with_settings(&discovery, &hosts, &s);
-    // Which one comes first is chance: one that met the late one first is not what this is about.
+    let balancer = start_with_settings(&discovery, &hosts, &settings);
+    // Which upstream gets the first attempt is random. A request whose first attempt went to the late
+    // upstream does not test the repeat and is given up.
     let mut waiting = None;
     for _ in 0..20 {
-        let mut client = b.connect();
+        let mut client = balancer.connect();
         let before = first.request_count();
         client.send(&book_request("6", "x"));
         wait_until("an attempt", || first.request_count() > before || late.has_waiting_connection());
@@ -63,81 +68,93 @@
         wait_until("no attempt", || !late.has_waiting_connection());
     }
     let mut client = waiting.expect("a repeat that waits for its connection");
-    thread::sleep(Duration::from_millis(400)); // the window passes
-    let came = received_text(&late.accept_connections());
-    assert!(!came.contains("POST"), "{came}");
-    assert_eq!(client.read_answer().expect("an answer").status(), 502, "it may have run");
+    thread::sleep(Duration::from_millis(400)); // the window of the key passes
+    let received = received_text(&late.accept_connections());
+    assert!(!received.contains("POST"), "{received}");
+    assert_eq!(client.read_answer().expect("an answer").status(), 502, "the first attempt may have run");
 }
 
-/// An attempt waits for its connection, then this list comes: the request is answered elsewhere, well within its time,
-/// and nothing of it came to the first one.
-fn goes_elsewhere(and_then: impl Fn(&Balancer, &str), listed: impl Fn(SocketAddr) -> Vec<String>) {
+/// Checks that a request whose attempt waits for its connection is answered by another upstream, well before
+/// its deadline and without a byte sent to the first one, once a list with `entries_of_late` and the other
+/// upstream arrives. `before_list` runs before the list is written.
+fn check_moves_to_another_upstream(
+    before_list: impl Fn(&Balancer, &str),
+    entries_of_late: impl Fn(SocketAddr) -> Vec<String>,
+) {
     let late = FullQueueUpstream::start();
     let good = Upstream::start(|_| ok_reply("elsewhere"));
     let discovery = Discovery::start();
-    let (at, hosts) = (free_address(), [host_entry("l", late.address, 0, "SERVING")]);
-    let text = config_text(at, discovery.address, 1024, &hosts)
+    let (address, hosts) = (free_address(), [host_entry("l", late.address, 0, "SERVING")]);
+    let text = config_text(address, discovery.address, 1024, &hosts)
         .replace(SETTINGS, &settings_with(&LONG_DIAL_WITHOUT_CANCEL));
-    let b = Balancer::start_with_config(at, &text, |_| {});
+    let balancer = Balancer::start_with_config(address, &text, |_| {});
     let (_, mut watch) = discovery.next_watch();
-    let mut client = b.connect();
+    let mut client = balancer.connect();
     client.send(&book_request("6", "x"));
     wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
-    and_then(&b, &text);
-    let told = Instant::now();
-    let listed = [listed(late.address), vec![host_entry("g", good.address, 0, "SERVING")]].concat();
-    watch.write_chunk(&(host_list(8, true, &listed) + "\n"));
+    before_list(&balancer, &text);
+    let list_written = Instant::now();
+    let entries = [entries_of_late(late.address), vec![host_entry("g", good.address, 0, "SERVING")]].concat();
+    watch.write_chunk(&(host_list(8, true, &entries) + "\n"));
     assert_eq!(&client.read_answer().expect("an answer").body[..], b"elsewhere");
-    assert!(told.elapsed() < Duration::from_secs(3), "{:?}: its own time was up", told.elapsed());
-    assert!(!late.has_waiting_connection(), "its attempt is still on its way");
+    assert!(
+        list_written.elapsed() < Duration::from_secs(3),
+        "{:?}: as late as its deadline",
+        list_written.elapsed()
+    );
+    assert!(!late.has_waiting_connection(), "the first attempt still waits for its connection");
     assert_eq!(received_text(&late.accept_connections()), "");
 }
 
-/// Guards against new work for a host that drains: its connection was on its way when the list said so.
+/// Guards against new work for a host that drains: the list that says so came while the connection to the
+/// host was being established.
 #[test]
-fn what_waits_for_its_connection_goes_elsewhere_once_its_host_drains() {
-    goes_elsewhere(|_, _| {}, |late| vec![host_entry("l", late, 0, "DRAINING")]);
+fn a_request_waiting_for_its_connection_moves_to_another_upstream_once_its_host_drains() {
+    check_moves_to_another_upstream(|_, _| {}, |late| vec![host_entry("l", late, 0, "DRAINING")]);
 }
 
-/// The same with a host that a whole list leaves out.
+/// Guards against the same new work for a host that a whole list leaves out.
 #[test]
-fn what_waits_for_its_connection_goes_elsewhere_once_its_host_is_left_out() {
-    goes_elsewhere(|_, _| {}, |_| Vec::new());
+fn a_request_waiting_for_its_connection_moves_to_another_upstream_once_its_host_is_left_out() {
+    check_moves_to_another_upstream(|_, _| {}, |_| Vec::new());
 }
 
-/// The same with new settings in between: requests that were taken before hear of the list, too.
+/// Guards against the same new work where new settings come into force in between: lists that arrive later
+/// also have to reach requests that were accepted under the settings before.
 #[test]
-fn what_was_taken_before_new_settings_hears_of_later_lists() {
-    let new_settings = |b: &Balancer, text: &str| {
-        std::fs::write(&b.config, text.replace("\"Name\":\"look\"", "\"Name\":\"view\"")).unwrap();
-        b.signal("HUP");
+fn later_lists_reach_requests_accepted_before_new_settings() {
+    let new_settings = |balancer: &Balancer, text: &str| {
+        std::fs::write(&balancer.config, text.replace("\"Name\":\"look\"", "\"Name\":\"view\"")).unwrap();
+        balancer.signal("HUP");
         let view = look_request("0.3").replace("/look/", "/view/");
-        wait_until("the new settings", || b.request(&view).status() != 404);
+        wait_until("the new settings", || balancer.request(&view).status() != 404);
     };
-    goes_elsewhere(new_settings, |late| vec![host_entry("l", late, 0, "DRAINING")]);
+    check_moves_to_another_upstream(new_settings, |late| vec![host_entry("l", late, 0, "DRAINING")]);
 }
 
-/// Guards against lists that are not written on one line, and against a bad value that takes a good list with it.
+/// Guards against a parser that needs each list on a line of its own, and against malformed text that causes
+/// the valid lists before it on its line to be dropped.
 #[test]
-fn lists_are_read_however_they_are_laid_out() {
+fn lists_are_read_whatever_their_layout() {
     let ups: Vec<_> = (0..3).map(|_| Upstream::start(|_| ok_reply("x"))).collect();
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("old", ups[0].address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host_entry("old", ups[0].address, 0, "SERVING")]);
     let (_, mut watch) = discovery.next_watch();
     let served_by = |n: usize| {
         let before = ups[n].request_count();
-        b.request(&look_request("1.2"));
+        balancer.request(&look_request("1.2"));
         ups[n].request_count() > before
     };
     let indented = host_list(8, true, &[host_entry("new", ups[1].address, 0, "SERVING")])
         .replace('{', "{\n  ")
         .replace(',', ",\n  ");
-    // In pieces, each a chunk; the first ends within a word.
+    // The list is sent in two chunks, the first of which ends within a word.
     let (head, tail) = indented.split_at(20);
     watch.write_chunk(head);
     watch.write_chunk(&format!("{tail}\n\n"));
     wait_until("the indented list", || served_by(1));
-    // Two on one line, then nonsense: the lists count, and the watch is opened anew from the last of them.
+    // Two lists and malformed text on one line: both lists are applied, and the watch is reopened from the
+    // last of them.
     let next =
         host_list(9, false, &[]) + &host_list(10, true, &[host_entry("third", ups[2].address, 0, "SERVING")]);
     watch.write_chunk(&format!("{next} nonsense\n"));
@@ -146,121 +163,125 @@
     wait_until("the last good list", || served_by(2));
 }
 
-/// Guards against a watch that is kept alive by bytes that never make a list. What it misses counts as told 6 s after
-/// it fell silent: a new one has to be there by then.
+/// Guards against a watch that is kept open by bytes that never complete a list. What it misses counts as
+/// notified 6 s after the last complete line, so a new watch has to be open by then.
 #[test]
-fn bytes_alone_do_not_keep_a_watch_alive() {
+fn bytes_without_a_complete_list_do_not_keep_a_watch_open() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let _b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let _balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let (_, mut watch) = discovery.next_watch();
     watch.write_chunk("\n");
-    let silent = Instant::now();
+    let last_line = Instant::now();
     let trickle = Arc::new(Mutex::new(watch));
-    let hand = trickle.clone();
+    let trickling_watch = trickle.clone();
     thread::spawn(move || {
         let text = host_list(8, true, &[]);
         for byte in text.chars() {
-            hand.lock().unwrap().write_chunk_if_open(&byte.to_string());
+            trickling_watch.lock().unwrap().write_chunk_if_open(&byte.to_string());
             thread::sleep(Duration::from_millis(300));
         }
     });
     discovery.next_watch();
-    assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
+    assert!(last_line.elapsed() < Duration::from_secs(6), "{:?}", last_line.elapsed());
 }
 
-/// Guards against a call for lists that comes too late once one before it has failed: a silent watch, then a connection
-/// that never comes up, then one that does, all in the 6 s after which what was missed counts as told.
+/// Guards against a call for lists that comes too late because the one before it failed: a watch stalls, the
+/// connection of the next call is never established, and that of the call after it is, all within the 6 s
+/// after which what was missed counts as notified.
 #[test]
-fn after_a_silent_watch_there_is_time_for_a_call_that_fails() {
+fn after_a_stalled_watch_there_is_time_for_a_call_that_fails() {
     let up = Upstream::start(|_| ok_reply("x"));
     let listener = listen_with_short_queue();
-    let (at, discovery) = (free_address(), listener.local_addr().unwrap());
-    let _b = Balancer::start_with_config(
-        at,
-        &config_text(at, discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]),
+    let (address, discovery) = (free_address(), listener.local_addr().unwrap());
+    let _balancer = Balancer::start_with_config(
+        address,
+        &config_text(address, discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]),
         |_| {},
     );
     let (mut watch, _) = listener.accept().unwrap();
     write!(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n").unwrap();
-    let silent = Instant::now();
+    let stalled = Instant::now();
     let late = FullQueueUpstream::fill_queue(listener);
-    wait_until("a call that does not come up", || late.has_waiting_connection());
-    wait_until("that call given up", || !late.has_waiting_connection());
-    let asked = received_text(&late.accept_connections());
-    assert!(asked.starts_with("GET /v1/endpoints"), "{asked}");
-    // What it asks is known once nothing more has come for 0.3 s.
-    assert!(silent.elapsed() < Duration::from_millis(6300), "{:?}", silent.elapsed());
+    wait_until("a call whose connection is not established", || late.has_waiting_connection());
+    wait_until("the end of that call", || !late.has_waiting_connection());
+    let received = received_text(&late.accept_connections());
+    assert!(received.starts_with("GET /v1/endpoints"), "{received}");
+    // The stand-in passes the call on once nothing more has come for 0.3 s, hence 6.3 s.
+    assert!(stalled.elapsed() < Duration::from_millis(6300), "{:?}", stalled.elapsed());
 }
 
-/// Guards against a site whose lists are pushed: nobody had asked for a watch there, and no list was ever heard of.
+/// Guards against a process that never asks for a watch where the settings say that lists are pushed, and so
+/// never gets a list.
 #[test]
 fn pushed_lists_are_watched_from_the_start() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let s = settings_with(&[("on_request", "pushed")]);
-    let _b = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &s);
+    let settings = settings_with(&[("on_request", "pushed")]);
+    let _balancer = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &settings);
     let (_, watch) = discovery.next_watch();
-    // And again at once, when it ends.
+    // The process opens another watch at once when this one ends.
     drop(watch);
     discovery.next_watch();
 }
 
-/// Guards against a client that sent much behind its request and went: its end lies behind unread bytes.
+/// Guards against a client's close that goes unnoticed because it lies behind unread bytes: the client sent
+/// much after its request and then closed.
 #[test]
-fn the_end_behind_unread_bytes_is_seen() {
+fn a_close_behind_unread_bytes_is_noticed() {
     let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
-    let mut client = b.connect();
+    let balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = balancer.connect();
     client.send(&book_request("6", "x"));
     wait_until("the attempt", || up.request_count() == 1);
     let sent = Instant::now();
     client.send(&"x".repeat(60_000)); // more than is read ahead, and not more than the kernel takes
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert!(client.read_answer().is_none(), "somebody was thought to wait");
-    assert!(sent.elapsed() < Duration::from_secs(4), "{:?}: its time was up", sent.elapsed());
+    assert!(client.read_answer().is_none(), "an answer was sent though the client had closed");
+    assert!(sent.elapsed() < Duration::from_secs(4), "{:?}: as late as the deadline", sent.elapsed());
 }
 
-/// Guards against requests that stay in the socket, since what comes before them is answered at once.
+/// Guards against pipelined requests that stay unread in the socket because the requests before them are
+/// answered at once.
 #[test]
-fn all_of_many_requests_behind_each_other_are_answered() {
+fn all_of_many_pipelined_requests_are_answered() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let padded = READY_REQUEST.replace("\r\n\r\n", &format!("\r\nX-Pad: {}\r\n\r\n", "p".repeat(8_000)));
-    let mut client = b.connect();
+    let mut client = balancer.connect();
     let mut sending = client.stream.try_clone().unwrap();
-    // The kernel makes a socket's buffer larger once much has gone through it.
+    // The kernel enlarges the buffer of a socket once much has gone through it.
     for _ in 0..40 {
         client.send(&padded.repeat(10));
         (0..10).for_each(|_| assert_eq!(client.read_answer().unwrap().status(), 200));
     }
-    b.signal("STOP");
+    balancer.signal("STOP");
     let all = padded.repeat(60);
-    // All of it lies in the socket when the balancer reads on.
+    // The balancer is stopped, so that all of these bytes are in the socket when it reads again.
     sending.set_nonblocking(true).unwrap();
-    let mut at = 0;
-    while let Ok(n) = sending.write(&all.as_bytes()[at..]) {
-        at += n;
-        if at == all.len() {
+    let mut written = 0;
+    while let Ok(n) = sending.write(&all.as_bytes()[written..]) {
+        written += n;
+        if written == all.len() {
             break;
         }
     }
     sending.set_nonblocking(false).unwrap();
-    b.signal("CONT");
-    let whole = at / padded.len();
-    assert!(whole * padded.len() > 120_000, "{whole} requests fit in the socket");
-    for n in 0..whole {
+    balancer.signal("CONT");
+    let requests = written / padded.len();
+    assert!(requests * padded.len() > 120_000, "only {requests} requests fit in the socket");
+    for n in 0..requests {
         assert_eq!(client.read_answer().unwrap_or_else(|| panic!("no answer {n}")).status(), 200);
     }
 }
 
-/// Guards against a second answer that comes some milliseconds after the first: the next request has the connection
-/// by then, and got it for its own.
+/// Guards against a second answer that an upstream sends some milliseconds after the first: the next request
+/// uses the connection by then and took the second answer for its own.
 #[test]
-fn a_late_second_answer_is_nobodys() {
-    // A stand-in that answers each request with its id, and says it again a little later.
+fn a_late_second_answer_is_given_to_no_request() {
+    // A stand-in that answers each request with its id, and sends the same answer again after 8 ms.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -279,8 +300,8 @@
         }
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
-    let mut client = b.connect();
+    let balancer = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
+    let mut client = balancer.connect();
     for _ in 0..40 {
         let request = look_request("1.2");
         let answer = client.request(&request);
@@ -293,28 +314,29 @@
 }
 
 /// The settings with the second class unsafe to repeat.
-fn unsafe_book(changes: &[(&str, &str)]) -> String {
+fn settings_with_unsafe_book(changes: &[(&str, &str)]) -> String {
     settings_with(changes).replace("\"Semantics\":\"keyed\"", "\"Semantics\":\"unsafe\"")
 }
 
-/// A request of the class that is unsafe to repeat: it comes without a key.
-fn order() -> String {
+/// A request of the class that is unsafe to repeat, which has no idempotency key.
+fn unsafe_request() -> String {
     book_request("5", "x").replace("Idempotency-Key: 5c0f6e1a\r\n", "")
 }
 
-/// An upstream that answers so much of what it is asked, then resets the connection; how often it was asked.
-fn resets(start_of_answer: &'static str) -> (SocketAddr, Arc<Mutex<usize>>) {
+/// Starts an upstream that answers each request with this text and then resets the connection; returns its
+/// address and the number of its requests.
+fn start_resetting_upstream(start_of_answer: &'static str) -> (SocketAddr, Arc<Mutex<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(Mutex::new(0));
-    let asked = count.clone();
+    let counted = count.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             if Message::read(&mut std::io::BufReader::new(stream.try_clone().unwrap())).is_none() {
                 continue;
             }
-            *asked.lock().unwrap() += 1;
+            *counted.lock().unwrap() += 1;
             stream.write_all(start_of_answer.as_bytes()).unwrap();
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         }
@@ -322,113 +344,117 @@
     (address, count)
 }
 
-/// Guards against half an answer that passes for a whole one: without a length its end is the connection's, and a
-/// reset is no end. What may not be repeated is not, and its client is told that nothing is promised.
+/// Guards against half an answer that passes for a complete one: an answer without a length ends with its
+/// connection, and a reset is no regular end. An unsafe request is not repeated, and its client gets a 502,
+/// which promises nothing.
 #[test]
-fn a_reset_is_no_end_of_an_answer_and_an_unsafe_request_goes_out_once() {
+fn a_reset_does_not_complete_an_answer_and_an_unsafe_request_is_sent_once() {
     for begun in ["", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nhalf"] {
-        let (bad, asked) = resets(begun);
+        let (bad, asked) = start_resetting_upstream(begun);
         let good = Upstream::start(|_| ok_reply("whole"));
         let discovery = Discovery::start();
         let hosts = [host_entry("b", bad, 0, "SERVING"), host_entry("g", good.address, 0, "SERVING")];
-        let b = start_with_settings(&discovery, &hosts, &unsafe_book(&[]));
+        let balancer = start_with_settings(&discovery, &hosts, &settings_with_unsafe_book(&[]));
         let mut failed = 0;
         for _ in 0..12 {
-            let (before, sent) = (good.request_count() + *asked.lock().unwrap(), order());
-            let answer = b.request(&sent);
+            let (before, sent) = (good.request_count() + *asked.lock().unwrap(), unsafe_request());
+            let answer = balancer.request(&sent);
             assert!(answer.status() == 502 || answer.body == b"whole", "{answer:?}");
             failed += usize::from(answer.status() == 502);
             assert_eq!(good.request_count() + *asked.lock().unwrap(), before + 1, "sent once");
         }
-        assert!(failed > 0, "the bad one was never met");
-        // What is safe to repeat may be, within the budget; never is half of an answer passed on.
-        let answers: Vec<_> = (0..6).map(|_| b.request(&look_request("1.2"))).collect();
+        assert!(failed > 0, "no request was sent to the upstream that resets");
+        // A request that is safe to repeat may be repeated within the budget; half of an answer is never
+        // passed on.
+        let answers: Vec<_> = (0..6).map(|_| balancer.request(&look_request("1.2"))).collect();
         assert!(answers.iter().all(|a| a.status() == 503 || a.body == b"whole"), "{answers:?}");
         assert!(answers.iter().any(|a| a.status() == 200), "{answers:?}");
     }
 }
 
-/// Guards against a close of the upstream that crosses a request which may not be repeated: it does not go out on a
-/// connection that has rested for half of its time.
+/// Guards against an unsafe request that crosses the upstream's close of an idle connection: such a request
+/// is not sent on a connection that has been idle for half of its keep-alive time.
 #[test]
-fn an_unsafe_request_takes_no_connection_that_is_near_its_end() {
+fn an_unsafe_request_uses_no_connection_that_has_been_idle_for_long() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let s = unsafe_book(&[("\"IdleCloseUs\":60000000", "\"IdleCloseUs\":3000000")]);
-    let b = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &s);
+    let settings = settings_with_unsafe_book(&[("\"IdleCloseUs\":60000000", "\"IdleCloseUs\":3000000")]);
+    let balancer = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &settings);
     let opened = || up.connections_opened.load(std::sync::atomic::Ordering::SeqCst);
-    let rest = || thread::sleep(Duration::from_millis(1250)); // of the 2 s that a connection is kept
-    assert_eq!(b.request(&order()).status(), 200);
-    rest();
+    // An idle connection is kept for 2 s.
+    let stay_idle = || thread::sleep(Duration::from_millis(1250));
+    assert_eq!(balancer.request(&unsafe_request()).status(), 200);
+    stay_idle();
     assert_eq!(
-        (b.request(&look_request("1.2")).status(), opened()),
+        (balancer.request(&look_request("1.2")).status(), opened()),
         (200, 1),
-        "one that may be repeated takes it"
+        "a request that may be repeated reuses the connection"
     );
-    rest();
-    assert_eq!((b.request(&order()).status(), opened()), (200, 2));
+    stay_idle();
+    assert_eq!((balancer.request(&unsafe_request()).status(), opened()), (200, 2));
 }
 
-/// Guards against bytes behind an answer that pass for the next one.
+/// Guards against bytes after an answer that are taken for the answer to the next request.
 #[test]
-fn what_follows_an_answer_is_nobodys() {
+fn bytes_after_an_answer_are_given_to_no_request() {
     let answer =
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate";
     let up = Upstream::start(move |_| Reply::Send(answer.into()));
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     for n in 1..4 {
-        assert_eq!(b.request(&look_request("1.2")).body, b"x");
+        assert_eq!(balancer.request(&look_request("1.2")).body, b"x");
         assert_eq!(
             up.connections_opened.load(std::sync::atomic::Ordering::SeqCst),
             n,
-            "each on its own connection"
+            "each request on its own connection"
         );
     }
 }
 
-/// Guards against two reports of one attempt, and two answers to one request: while the process stands still its answer
-/// comes, its client leaves, and its time passes. It finds them all in one turn.
+/// Guards against two reports of one attempt and two answers to one request: while the process is stopped,
+/// the answer of the upstream arrives, the client closes or not, and the deadline passes. The process handles
+/// all of it in one turn of its event loop.
 #[test]
-fn an_answer_a_leave_and_a_deadline_in_one_turn_end_a_request_once() {
-    let ((asked, was_asked), (go, may_go)) = (channel::<()>(), channel::<()>());
-    let hold = Mutex::new((asked, may_go));
+fn an_answer_a_close_and_a_deadline_in_one_turn_end_a_request_once() {
+    let ((attempt, attempted), (release, released)) = (channel::<()>(), channel::<()>());
+    let signals = Mutex::new((attempt, released));
     let up = Upstream::start(move |m| {
         if m.start_line.contains("book") {
-            let hold = hold.lock().unwrap();
-            hold.0.send(()).unwrap();
-            hold.1.recv_timeout(WAIT_TIMEOUT).unwrap();
+            let signals = signals.lock().unwrap();
+            signals.0.send(()).unwrap();
+            signals.1.recv_timeout(WAIT_TIMEOUT).unwrap();
         }
         ok_reply("x")
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
-    for leaves in [true, false] {
-        let mut client = b.connect();
+    let balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    for client_closes in [true, false] {
+        let mut client = balancer.connect();
         client.send(&book_request("0.5", "x"));
         let sent = Instant::now();
-        was_asked.recv_timeout(WAIT_TIMEOUT).expect("the attempt");
-        b.signal("STOP");
-        go.send(()).unwrap();
-        if leaves {
+        attempted.recv_timeout(WAIT_TIMEOUT).expect("the attempt");
+        balancer.signal("STOP");
+        release.send(()).unwrap();
+        if client_closes {
             client.stream.shutdown(Shutdown::Both).unwrap();
         }
-        thread::sleep(Duration::from_millis(700).saturating_sub(sent.elapsed())); // past its time
-        b.signal("CONT");
-        if !leaves {
+        thread::sleep(Duration::from_millis(700).saturating_sub(sent.elapsed())); // past the deadline
+        balancer.signal("CONT");
+        if !client_closes {
             assert!(matches!(client.read_answer().expect("an answer").status(), 200 | 502 | 503));
-            // The next answer on the connection is the next request's.
+            // The next answer on the connection belongs to the next request.
             assert_eq!(client.request(READY_REQUEST).status(), 200);
             assert_eq!(&client.request(&look_request("1.2")).body[..], b"x");
         }
-        assert_eq!(b.request(&look_request("1.2")).status(), 200);
+        assert_eq!(balancer.request(&look_request("1.2")).status(), 200);
     }
 }
 
-/// Guards against answers that never end, of a body or of interim answers: the client has its answer in time, and the
-/// process is well.
+/// Guards against answers that never end, be it an endless body or endless interim answers: the client still
+/// gets an answer at its deadline, and the process goes on.
 #[test]
-fn an_answer_without_end_ends_with_its_time() {
+fn an_endless_answer_is_cut_at_the_deadline() {
     for (head, more) in [("HTTP/1.1 200 OK\r\n\r\n", "x"), ("", "HTTP/1.1 102 Processing\r\n\r\n")] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -443,10 +469,10 @@
             }
         });
         let discovery = Discovery::start();
-        let b = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
-        let asked = Instant::now();
-        assert!(matches!(b.request(&look_request("0.6")).status(), 502 | 503));
-        assert!(asked.elapsed() < Duration::from_millis(1400), "{:?}", asked.elapsed());
-        assert_eq!(b.request(READY_REQUEST).status(), 200);
+        let balancer = Balancer::start(&discovery, &[host_entry("s", address, 0, "SERVING")]);
+        let sent = Instant::now();
+        assert!(matches!(balancer.request(&look_request("0.6")).status(), 502 | 503));
+        assert!(sent.elapsed() < Duration::from_millis(1400), "{:?}", sent.elapsed());
+        assert_eq!(balancer.request(READY_REQUEST).status(), 200);
     }
 }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that close their connection: no attempt, first or further, begins more than 0.1 s later, whichever way they
-//! leave and wherever their request is just then.
+//! Clients that close their connection before they have an answer: no attempt, first or further, begins more
+//! than 0.1 s later, in whichever way the client leaves and whatever state its request is in.
 
 mod support;
 
@@ -13,46 +13,55 @@
 use support::late::{is_connecting_to, received_text, FullQueueUpstream, LONG_DIAL_WITHOUT_CANCEL};
 use support::*;
 
-/// The latest that an attempt may begin after its client has closed.
-const LATEST: Duration = Duration::from_millis(100);
+/// How long after the client has closed an attempt may begin at the latest.
+const MAX_START_DELAY: Duration = Duration::from_millis(100);
 
-/// Longer than that, with the time that a busy machine takes.
-const WELL_PAST: Duration = Duration::from_millis(150);
+/// Longer than [`MAX_START_DELAY`] by the time that a busy machine may need.
+const SETTLE_TIME: Duration = Duration::from_millis(150);
 
-/// Attempts are not called off.
-const KEPT: (&str, &str) = ("\"MayCancel\":true", "\"MayCancel\":false");
+/// Change of the settings with which attempts are not cancelled.
+const WITHOUT_CANCEL: (&str, &str) = ("\"MayCancel\":true", "\"MayCancel\":false");
 
-/// The ways in which a client leaves.
+/// The way in which a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Leave {
+enum LeaveWay {
+    /// The client closes its connection.
     Close,
+    /// The client closes only its sending side.
     HalfClose,
+    /// The client resets its connection.
     Reset,
-    /// It closes behind bytes that are not read: the beginning of a next request.
-    BehindBytes,
-    /// It closes behind whole requests.
-    BehindRequests,
+    /// The client sends the beginning of a next request, which is not read, and closes.
+    CloseBehindBytes,
+    /// The client sends complete further requests and closes.
+    CloseBehindRequests,
 }
 
-const ALL: [Leave; 5] =
-    [Leave::Close, Leave::HalfClose, Leave::Reset, Leave::BehindBytes, Leave::BehindRequests];
-
-impl Leave {
-    /// Leaves; the stream is still there where only its sending has ended.
+const ALL_WAYS: [LeaveWay; 5] = [
+    LeaveWay::Close,
+    LeaveWay::HalfClose,
+    LeaveWay::Reset,
+    LeaveWay::CloseBehindBytes,
+    LeaveWay::CloseBehindRequests,
+];
+
+impl LeaveWay {
+    /// Has the client leave; returns the client where only its sending side is closed, so that the rest stays
+    /// open.
     fn leave(self, client: Client) -> Option<Client> {
         let mut stream = &client.stream;
         match self {
-            Leave::Close => {}
-            Leave::HalfClose => {
+            LeaveWay::Close => {}
+            LeaveWay::HalfClose => {
                 stream.shutdown(Shutdown::Write).unwrap();
                 return Some(client);
             }
-            Leave::Reset => {
+            LeaveWay::Reset => {
                 socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            // More than is read ahead, and not more than the kernel takes.
-            Leave::BehindBytes => stream.write_all("x".repeat(60_000).as_bytes()).unwrap(),
-            Leave::BehindRequests => {
+            // More bytes than the balancer reads ahead, and no more than the kernel buffers.
+            LeaveWay::CloseBehindBytes => stream.write_all("x".repeat(60_000).as_bytes()).unwrap(),
+            LeaveWay::CloseBehindRequests => {
                 (0..100).for_each(|_| stream.write_all(look_request("1.2").as_bytes()).unwrap())
             }
         }
@@ -60,343 +69,381 @@
     }
 }
 
-/// When the first byte of each attempt came, by the id of its request.
-type Begun = Arc<Mutex<Vec<(String, Instant)>>>;
+/// The id of the request of each attempt, and when the first byte of the attempt arrived.
+type AttemptStarts = Arc<Mutex<Vec<(String, Instant)>>>;
 
-/// An upstream that notes when attempts begin. Without an answer it goes on to the end of the connection.
-struct Witness {
+/// An upstream that records when attempts begin. Where it gives no answer, it keeps reading until the
+/// connection ends.
+struct RecordingUpstream {
     address: SocketAddr,
-    begun: Begun,
+    starts: AttemptStarts,
 }
 
-impl Witness {
-    fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Witness {
+impl RecordingUpstream {
+    fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> RecordingUpstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let witness = Witness { address: listener.local_addr().unwrap(), begun: Begun::default() };
-        let (begun, reply) = (witness.begun.clone(), Arc::new(reply));
+        let upstream =
+            RecordingUpstream { address: listener.local_addr().unwrap(), starts: AttemptStarts::default() };
+        let (starts, reply) = (upstream.starts.clone(), Arc::new(reply));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (begun, reply) = (begun.clone(), reply.clone());
-                thread::spawn(move || note(stream.unwrap(), &begun, &*reply));
+                let (starts, reply) = (starts.clone(), reply.clone());
+                thread::spawn(move || record_attempts(stream.unwrap(), &starts, &*reply));
             }
         });
-        witness
+        upstream
     }
 
-    fn count(&self) -> usize {
-        self.begun.lock().unwrap().len()
+    /// The number of attempts that have begun.
+    fn attempt_count(&self) -> usize {
+        self.starts.lock().unwrap().len()
     }
 
-    /// How many attempts came of a request.
-    fn attempts(&self, request: &str) -> usize {
+    /// The number of attempts of one request that have begun.
+    fn attempts_of(&self, request: &str) -> usize {
         let id = id_of(request);
-        self.begun.lock().unwrap().iter().filter(|(of, _)| *of == id).count()
+        self.starts.lock().unwrap().iter().filter(|(started, _)| *started == id).count()
     }
 }
 
-fn note(mut stream: TcpStream, begun: &Begun, reply: &impl Fn(&Message) -> Reply) {
+/// Reads the requests of one connection, records when each began, and answers them.
+fn record_attempts(mut stream: TcpStream, starts: &AttemptStarts, reply: &impl Fn(&Message) -> Reply) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
-    while input.fill_buf().is_ok_and(|b| !b.is_empty()) {
+    while input.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
         let at = Instant::now();
         let Some(message) = Message::read(&mut input) else { return };
-        begun.lock().unwrap().push((message.header("req-id").unwrap().to_string(), at));
+        starts.lock().unwrap().push((message.header("req-id").unwrap().to_string(), at));
         match reply(&message) {
-            Reply::Send(b) if stream.write_all(&b).is_ok() => {}
+            Reply::Send(bytes) if stream.write_all(&bytes).is_ok() => {}
             Reply::NoAnswer => {}
             Reply::Send(_) => return,
-            Reply::SendAndClose(b) => {
-                let _ = stream.write_all(&b);
+            Reply::SendAndClose(bytes) => {
+                let _ = stream.write_all(&bytes);
                 return;
             }
         }
     }
 }
 
-/// The id of a request.
+/// The id in the text of a request.
 fn id_of(request: &str) -> String {
     let line = request.lines().find_map(|l| l.strip_prefix("Req-Id: "));
     line.expect("a request with an id").to_string()
 }
 
-/// Sends requests of clients that will leave, in each way, and one of a client that stays.
-fn send_all(b: &Balancer, request: impl Fn() -> String) -> (Vec<(Leave, Client, String)>, Client) {
+/// Sends one request of a client for each way to leave, and one of a client that stays.
+fn send_for_all_ways(
+    balancer: &Balancer,
+    request: impl Fn() -> String,
+) -> (Vec<(LeaveWay, Client, String)>, Client) {
     let send = || {
-        let (mut client, request) = (b.connect(), request());
+        let (mut client, request) = (balancer.connect(), request());
         client.send(&request);
         (client, request)
     };
-    let leaving = ALL.iter().map(|&way| {
+    let leaving = ALL_WAYS.iter().map(|&way| {
         let (client, request) = send();
         (way, client, request)
     });
     (leaving.collect(), send().0)
 }
 
-/// Has them all leave, and waits until it is well known; their requests, and the streams that are still there.
-fn leave_all(leaving: Vec<(Leave, Client, String)>) -> (Vec<(Leave, String)>, Vec<Client>) {
+/// Has all these clients leave and waits until the balancer has to know it; returns their requests, and the
+/// clients that have closed only their sending side.
+fn leave_all(leaving: Vec<(LeaveWay, Client, String)>) -> (Vec<(LeaveWay, String)>, Vec<Client>) {
     let (mut left, mut open) = (Vec::new(), Vec::new());
     for (way, client, request) in leaving {
         open.extend(way.leave(client));
         left.push((way, request));
     }
-    thread::sleep(WELL_PAST);
+    thread::sleep(SETTLE_TIME);
     (left, open)
 }
 
-/// Guards against first attempts for nobody: the requests wait in the module, as no upstream is known.
+/// Guards against first attempts for clients that have left: the requests are queued in the decision module,
+/// as no upstream is known.
 #[test]
-fn what_is_held_is_not_begun_once_its_client_has_left() {
-    let up = Witness::start(|_| ok_reply("x"));
+fn a_queued_request_is_not_attempted_once_its_client_has_left() {
+    let up = RecordingUpstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let address = free_address();
     let text = config_text(address, discovery.address, 1024, &[]);
-    let b = Balancer { address, child: program_command(&text).spawn().unwrap(), config: String::new() };
+    let balancer =
+        Balancer { address, child: program_command(&text).spawn().unwrap(), config: String::new() };
     wait_until("the listener", || Client::connect(address).is_some());
     let (_, mut watch) = discovery.next_watch();
-    let (leaving, mut stays) = send_all(&b, || book_request("6", "x"));
-    thread::sleep(LATEST);
+    let (leaving, mut stays) = send_for_all_ways(&balancer, || book_request("6", "x"));
+    thread::sleep(MAX_START_DELAY);
     let (left, _open) = leave_all(leaving);
     watch.write_chunk(&(host_list(8, true, &[host_entry("s", up.address, 0, "SERVING")]) + "\n"));
-    assert_eq!(stays.read_answer().expect("an answer").status(), 200, "whoever stays is served");
-    thread::sleep(WELL_PAST);
-    let begun: Vec<_> = left.iter().filter(|(_, r)| up.attempts(r) > 0).map(|(way, _)| way).collect();
-    assert!(begun.is_empty() && up.count() == 1, "{begun:?}: {} attempts", up.count());
+    assert_eq!(stays.read_answer().expect("an answer").status(), 200, "the client that stays is served");
+    thread::sleep(SETTLE_TIME);
+    let attempted: Vec<_> = left.iter().filter(|(_, r)| up.attempts_of(r) > 0).map(|(way, _)| way).collect();
+    assert!(
+        attempted.is_empty() && up.attempt_count() == 1,
+        "{attempted:?}: {} attempts",
+        up.attempt_count()
+    );
 }
 
-/// First attempts that fail once their clients have left: no further one begins. With `before_leaving`, something
-/// happens while the first ones are out.
-fn no_further_attempt(change: &[(&str, &str)], before_leaving: impl Fn(&Balancer)) {
-    let failing = Arc::new(Mutex::new(()));
-    let held = failing.lock().unwrap();
-    let hand = failing.clone();
-    // Every attempt waits until it may fail, and may be made again.
-    let up = Witness::start(move |_| {
-        drop(hand.lock());
+/// Checks that no further attempt begins where the first attempts fail after their clients have left.
+/// `before_leaving` runs while the first attempts are under way.
+fn check_no_further_attempt(changes: &[(&str, &str)], before_leaving: impl Fn(&Balancer)) {
+    let gate = Arc::new(Mutex::new(()));
+    let closed_gate = gate.lock().unwrap();
+    let gate_of_upstream = gate.clone();
+    // Every attempt waits until the gate opens, and then fails in a way that allows another attempt.
+    let up = RecordingUpstream::start(move |_| {
+        drop(gate_of_upstream.lock());
         error_reply(503, "Srv-Declined: 1\r\n")
     });
     let discovery = Discovery::start();
     let hosts = [host_entry("s", up.address, 0, "SERVING"), host_entry("t", up.address, 0, "SERVING")];
-    let b = start_with_settings(&discovery, &hosts, &settings_with(change));
-    let (leaving, _stays) = send_all(&b, || book_request("6", "x"));
-    wait_until("the first attempts", || up.count() > ALL.len());
-    before_leaving(&b);
+    let balancer = start_with_settings(&discovery, &hosts, &settings_with(changes));
+    let (leaving, _stays) = send_for_all_ways(&balancer, || book_request("6", "x"));
+    wait_until("the first attempts", || up.attempt_count() > ALL_WAYS.len());
+    before_leaving(&balancer);
     let (left, _open) = leave_all(leaving);
-    let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts(r))).collect();
-    let count = up.count();
-    drop(held);
-    wait_until("a further attempt for the one that stays", || up.count() > count);
-    thread::sleep(WELL_PAST);
+    let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts_of(r))).collect();
+    let count = up.attempt_count();
+    drop(closed_gate);
+    wait_until("a further attempt for the client that stays", || up.attempt_count() > count);
+    thread::sleep(SETTLE_TIME);
     for (way, request) in &left {
-        assert_eq!(up.attempts(request), before[way], "{way:?}: begun for a client that had left");
+        assert_eq!(
+            up.attempts_of(request),
+            before[way],
+            "{way:?}: an attempt began for a client that had left"
+        );
     }
 }
 
-/// Guards against a retry for nobody, where attempts may not be called off.
+/// Guards against a retry for a client that has left, where attempts may not be cancelled.
 #[test]
 fn a_failed_attempt_is_not_repeated_once_its_client_has_left() {
-    no_further_attempt(&[KEPT], |_| {});
+    check_no_further_attempt(&[WITHOUT_CANCEL], |_| {});
 }
 
-/// The same while the process ends.
+/// Guards against the same retry while the process shuts down.
 #[test]
-fn at_the_end_a_failed_attempt_is_not_repeated_once_its_client_has_left() {
-    no_further_attempt(&[KEPT], |b| {
-        b.signal("TERM");
-        thread::sleep(WELL_PAST);
+fn during_shutdown_a_failed_attempt_is_not_repeated_once_its_client_has_left() {
+    check_no_further_attempt(&[WITHOUT_CANCEL], |balancer| {
+        balancer.signal("TERM");
+        thread::sleep(SETTLE_TIME);
     });
 }
 
-/// Requests that are served before upstreams hang.
-const WARM_UP: usize = 60;
+/// The number of requests that are served before the upstreams hang, from which the balancer learns usual
+/// durations.
+const WARM_UP_REQUESTS: usize = 60;
 
-/// Guards against second attempts for nobody: the first ones hang, and where a client stays its one is called off and
-/// made again elsewhere.
+/// Guards against second attempts for clients that have left: the first attempts hang, and where the client
+/// stays its attempt is cancelled and made again at another upstream.
 #[test]
-fn a_hanging_attempt_is_not_made_again_once_its_client_has_left() {
+fn a_hanging_attempt_is_not_repeated_once_its_client_has_left() {
     let hangs = Arc::new(AtomicBool::new(false));
     let hanging = hangs.clone();
-    let up =
-        Witness::start(move |_| if hanging.load(Ordering::SeqCst) { Reply::NoAnswer } else { ok_reply("x") });
+    let up = RecordingUpstream::start(move |_| {
+        if hanging.load(Ordering::SeqCst) {
+            Reply::NoAnswer
+        } else {
+            ok_reply("x")
+        }
+    });
     let discovery = Discovery::start();
     let hosts: Vec<_> = (0..4).map(|n| host_entry(&format!("s{n}"), up.address, 0, "SERVING")).collect();
-    let b = start_with_settings(&discovery, &hosts, SETTINGS);
-    // How long answers take is known from these.
-    let mut client = b.connect();
-    (0..WARM_UP).for_each(|_| assert_eq!(client.request(&look_request("1.4")).status(), 200));
+    let balancer = start_with_settings(&discovery, &hosts, SETTINGS);
+    // From these requests the balancer learns how long answers usually take.
+    let mut client = balancer.connect();
+    (0..WARM_UP_REQUESTS).for_each(|_| assert_eq!(client.request(&look_request("1.4")).status(), 200));
     hangs.store(true, Ordering::SeqCst);
-    let warm = up.count();
-    let (leaving, mut stays) = send_all(&b, || look_request("1.4"));
-    wait_until("the first attempts", || up.count() > warm + ALL.len());
+    let warm = up.attempt_count();
+    let (leaving, mut stays) = send_for_all_ways(&balancer, || look_request("1.4"));
+    wait_until("the first attempts", || up.attempt_count() > warm + ALL_WAYS.len());
     let (left, _open) = leave_all(leaving);
-    let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts(r))).collect();
-    let count = up.count();
+    let before: HashMap<_, _> = left.iter().map(|(way, r)| (*way, up.attempts_of(r))).collect();
+    let count = up.attempt_count();
     stays.read_answer();
-    assert!(up.count() > count, "the one that stays got no second attempt");
+    assert!(up.attempt_count() > count, "the client that stays got no second attempt");
     for (way, request) in &left {
-        assert_eq!(up.attempts(request), before[way], "{way:?}: begun for a client that had left");
+        assert_eq!(
+            up.attempts_of(request),
+            before[way],
+            "{way:?}: an attempt began for a client that had left"
+        );
     }
 }
 
-/// Guards against requests that wait behind another one, and are begun when that one ends.
+/// Guards against pipelined requests that are attempted when the one before them ends, though their client
+/// has left.
 #[test]
-fn what_waits_behind_a_request_is_not_begun_once_its_client_has_left() {
-    for way in ALL {
-        let go = Arc::new(Mutex::new(()));
-        let held = go.lock().unwrap();
-        let hand = go.clone();
-        let up = Witness::start(move |_| {
-            drop(hand.lock());
+fn a_pipelined_request_is_not_attempted_once_its_client_has_left() {
+    for way in ALL_WAYS {
+        let gate = Arc::new(Mutex::new(()));
+        let closed_gate = gate.lock().unwrap();
+        let gate_of_upstream = gate.clone();
+        let up = RecordingUpstream::start(move |_| {
+            drop(gate_of_upstream.lock());
             ok_reply("x")
         });
         let discovery = Discovery::start();
-        let b = start_with_settings(
+        let balancer = start_with_settings(
             &discovery,
             &[host_entry("s", up.address, 0, "SERVING")],
-            &settings_with(&[KEPT]),
+            &settings_with(&[WITHOUT_CANCEL]),
         );
-        let mut client = b.connect();
+        let mut client = balancer.connect();
         client.send(&(0..20).map(|_| book_request("6", "x")).collect::<String>());
-        wait_until("the first one", || up.count() == 1);
+        wait_until("the first attempt", || up.attempt_count() == 1);
         let _open = way.leave(client);
-        thread::sleep(WELL_PAST);
-        drop(held);
-        thread::sleep(WELL_PAST);
-        assert_eq!(up.count(), 1, "{way:?}: begun for a client that had left");
-        assert_eq!(b.request(READY_REQUEST).status(), 200);
+        thread::sleep(SETTLE_TIME);
+        drop(closed_gate);
+        thread::sleep(SETTLE_TIME);
+        assert_eq!(up.attempt_count(), 1, "{way:?}: an attempt began for a client that had left");
+        assert_eq!(balancer.request(READY_REQUEST).status(), 200);
     }
 }
 
-/// Guards against a close that lies behind other events of one long turn: the connection that an attempt waits for has
-/// come up before it, while the process had no processor time.
+/// Guards against a close that is handled after other events of one long turn of the event loop: the
+/// connection that an attempt waits for was established before the close, while the process had no processor
+/// time.
 #[test]
-fn a_close_that_is_found_in_the_turn_of_the_connection_comes_first() {
-    for way in ALL {
+fn a_close_in_the_same_turn_as_an_established_connection_is_handled_first() {
+    for way in ALL_WAYS {
         let late = FullQueueUpstream::start();
         let address = late.address;
         let discovery = Discovery::start();
-        let b = start_with_settings(
+        let balancer = start_with_settings(
             &discovery,
             &[host_entry("s", address, 0, "SERVING")],
             &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
         );
-        let mut client = b.connect();
+        let mut client = balancer.connect();
         client.send(&book_request("6", "x"));
         wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
-        b.signal("STOP");
-        let came = late.accept_connections();
-        wait_until("its connection", || !is_connecting_to(address));
+        balancer.signal("STOP");
+        let received = late.accept_connections();
+        wait_until("the connection of the attempt", || !is_connecting_to(address));
         let _open = way.leave(client);
-        thread::sleep(WELL_PAST);
-        b.signal("CONT");
-        assert_eq!(received_text(&came), "", "{way:?}");
+        thread::sleep(SETTLE_TIME);
+        balancer.signal("CONT");
+        assert_eq!(received_text(&received), "", "{way:?}");
     }
 }
 
-/// The same where the close comes before the connection.
+/// Guards against a request that is written although the close came before its connection was established.
 #[test]
-fn a_connection_that_comes_up_after_the_close_is_not_written_to() {
-    for way in ALL {
+fn a_connection_established_after_the_close_is_not_written_to() {
+    for way in ALL_WAYS {
         let late = FullQueueUpstream::start();
         let discovery = Discovery::start();
-        let b = start_with_settings(
+        let balancer = start_with_settings(
             &discovery,
             &[host_entry("s", late.address, 0, "SERVING")],
             &settings_with(&LONG_DIAL_WITHOUT_CANCEL),
         );
-        let mut client = b.connect();
+        let mut client = balancer.connect();
         client.send(&book_request("6", "x"));
         wait_until("an attempt that waits for its connection", || late.has_waiting_connection());
         let _open = way.leave(client);
-        wait_until("the attempt given up", || !late.has_waiting_connection());
+        wait_until("the end of that attempt", || !late.has_waiting_connection());
         assert_eq!(received_text(&late.accept_connections()), "", "{way:?}");
     }
 }
 
-/// What the clients below send behind their request: as much as the kernel takes at once, and some times that.
-const MUCH: [usize; 3] = [100_000, 250_000, 500_000];
+/// The numbers of bytes that the clients below send after their request: as many as the kernel takes at once,
+/// and multiples of that.
+const BYTES_BEHIND: [usize; 3] = [100_000, 250_000, 500_000];
 
-/// Guards against a close that the kernel can't tell, as it lies behind more bytes than a socket holds: those are read
-/// on while a request waits.
+/// Guards against a close that the kernel can't report because it lies behind more bytes than a socket
+/// buffers: the balancer goes on reading while a request waits.
 #[test]
-fn a_close_behind_many_bytes_is_seen() {
-    for much in MUCH {
-        let go = Arc::new(Mutex::new(()));
-        let held = go.lock().unwrap();
-        let hand = go.clone();
-        let up = Witness::start(move |_| {
-            drop(hand.lock());
+fn a_close_behind_many_bytes_is_noticed() {
+    for bytes in BYTES_BEHIND {
+        let gate = Arc::new(Mutex::new(()));
+        let closed_gate = gate.lock().unwrap();
+        let gate_of_upstream = gate.clone();
+        let up = RecordingUpstream::start(move |_| {
+            drop(gate_of_upstream.lock());
             error_reply(503, "Srv-Declined: 1\r\n")
         });
         let discovery = Discovery::start();
         let hosts = [host_entry("s", up.address, 0, "SERVING"), host_entry("t", up.address, 0, "SERVING")];
-        let b = start_with_settings(&discovery, &hosts, &settings_with(&[KEPT]));
-        let mut client = b.connect();
+        let balancer = start_with_settings(&discovery, &hosts, &settings_with(&[WITHOUT_CANCEL]));
+        let mut client = balancer.connect();
         client.send(&book_request("6", "x"));
-        wait_until("the first attempt", || up.count() == 1);
-        // Its kernel holds what the balancer's does not take.
-        socket2::SockRef::from(&client.stream).set_send_buffer_size(2 * much).unwrap();
-        client.send(&"x".repeat(much));
+        wait_until("the first attempt", || up.attempt_count() == 1);
+        // The client's side of the socket buffers what the balancer's side does not take.
+        socket2::SockRef::from(&client.stream).set_send_buffer_size(2 * bytes).unwrap();
+        client.send(&"x".repeat(bytes));
         drop(client);
-        thread::sleep(WELL_PAST);
-        drop(held);
-        thread::sleep(2 * WELL_PAST);
-        assert_eq!(up.count(), 1, "begun for a client that had left behind {much} bytes");
+        thread::sleep(SETTLE_TIME);
+        drop(closed_gate);
+        thread::sleep(2 * SETTLE_TIME);
+        assert_eq!(
+            up.attempt_count(),
+            1,
+            "an attempt began for a client that had closed behind {bytes} bytes"
+        );
     }
 }
 
-/// Guards against bytes that are read ahead and then lost, or taken in another order: the client stays.
+/// Guards against bytes that are read ahead and then lost or handled in another order, where the client
+/// stays.
 #[test]
-fn what_is_read_ahead_is_answered_in_its_order() {
+fn requests_read_ahead_are_answered_in_their_order() {
     const REQUESTS: usize = 100;
-    let hold = Arc::new(Mutex::new(()));
-    let held = hold.lock().unwrap();
-    let hand = hold.clone();
-    // Each answer is the id of its request.
-    let up = Witness::start(move |m| {
-        drop(hand.lock());
+    let gate = Arc::new(Mutex::new(()));
+    let closed_gate = gate.lock().unwrap();
+    let gate_of_upstream = gate.clone();
+    // The body of each answer is the id of its request.
+    let up = RecordingUpstream::start(move |m| {
+        drop(gate_of_upstream.lock());
         ok_reply(m.header("req-id").unwrap())
     });
     let discovery = Discovery::start();
-    let b = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
+    let balancer = Balancer::start(&discovery, &[host_entry("s", up.address, 0, "SERVING")]);
     let pad = format!("\r\nX-Pad: {}\r\n\r\n", "p".repeat(8_000));
     let requests: Vec<_> = (0..REQUESTS).map(|_| book_request("6", "").replace("\r\n\r\n", &pad)).collect();
-    let mut client = b.connect();
+    let mut client = balancer.connect();
     let mut sending = client.stream.try_clone().unwrap();
     let all = requests.concat();
     let sent = thread::spawn(move || sending.write_all(all.as_bytes()));
-    wait_until("the first attempt", || up.count() == 1);
-    thread::sleep(WELL_PAST); // much is read ahead meanwhile
-    drop(held);
+    wait_until("the first attempt", || up.attempt_count() == 1);
+    thread::sleep(SETTLE_TIME); // the balancer reads ahead meanwhile
+    drop(closed_gate);
     for request in &requests {
         let answer = client.read_answer().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, id_of(request).into_bytes()));
     }
-    sent.join().unwrap().expect("all was taken");
+    sent.join().unwrap().expect("all requests are read");
 }
 
-/// Clients of the measured run, and how many requests each of them sends.
+/// The number of clients of the measured run.
 const CLIENTS: usize = 24;
-const REQUESTS: usize = 40;
 
-/// Measures how long after a close attempts begin, over some thousand requests whose clients leave at any time, while
-/// upstreams serve, fail, turn away, reset and hang.
+/// The number of requests that each client of the measured run sends.
+const REQUESTS_PER_CLIENT: usize = 40;
+
+/// Measures how long after a close attempts begin, over some thousand requests whose clients leave at any
+/// time, while upstreams serve, fail, decline and close connections, each after a while.
 #[test]
 fn no_attempt_begins_long_after_a_close() {
-    let ups: Vec<_> = (0..4).map(|n| Witness::start(move |m| mixed(n, m))).collect();
+    let ups: Vec<_> = (0..4).map(|n| RecordingUpstream::start(move |m| mixed_reply(n, m))).collect();
     let discovery = Discovery::start();
     let hosts: Vec<_> =
         ups.iter().enumerate().map(|(n, u)| host_entry(&format!("s{n}"), u.address, 0, "SERVING")).collect();
-    let b = start_with_settings(&discovery, &hosts, &settings_with(&[KEPT]));
+    let balancer = start_with_settings(&discovery, &hosts, &settings_with(&[WITHOUT_CANCEL]));
     let closed: Mutex<HashMap<String, Instant>> = Mutex::default();
     thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (b, closed) = (&b, &closed);
+            let (balancer, closed) = (&balancer, &closed);
             scope.spawn(move || {
-                let mut rng = fastrand::Rng::with_seed(client as u64);
-                for _ in 0..REQUESTS {
-                    let (mut client, request) = (b.connect(), look_request("1.4"));
+                let mut random = fastrand::Rng::with_seed(client as u64);
+                for _ in 0..REQUESTS_PER_CLIENT {
+                    let (mut client, request) = (balancer.connect(), look_request("1.4"));
                     client.send(&request);
-                    thread::sleep(Duration::from_micros(rng.u64(0..60_000)));
+                    thread::sleep(Duration::from_micros(random.u64(0..60_000)));
                     let at = Instant::now();
                     drop(client);
                     closed.lock().unwrap().insert(id_of(&request), at);
@@ -404,25 +451,29 @@
             });
         }
     });
-    thread::sleep(Duration::from_millis(1500)); // the last ones' time
+    thread::sleep(Duration::from_millis(1500)); // past the deadlines of the last requests
     let closed = closed.into_inner().unwrap();
-    let (mut attempts, mut after, mut latest) = (0, 0, Duration::ZERO);
-    for (id, at) in ups.iter().flat_map(|u| u.begun.lock().unwrap().clone()) {
+    let (mut attempts, mut late_attempts, mut latest) = (0, 0, Duration::ZERO);
+    for (id, at) in ups.iter().flat_map(|u| u.starts.lock().unwrap().clone()) {
         attempts += 1;
         let late = at.saturating_duration_since(closed[&id]);
-        after += usize::from(late > Duration::ZERO);
+        late_attempts += usize::from(late > Duration::ZERO);
         latest = latest.max(late);
     }
-    println!("{attempts} attempts, {after} begun after the close, the latest {latest:?} after it");
-    assert!(attempts > CLIENTS * REQUESTS / 4, "{attempts} attempts");
-    assert!(latest <= LATEST, "{latest:?} after the close, {after} of {attempts} began after one");
+    println!("{attempts} attempts, {late_attempts} begun after the close, the latest {latest:?} after it");
+    assert!(attempts > CLIENTS * REQUESTS_PER_CLIENT / 4, "{attempts} attempts");
+    assert!(
+        latest <= MAX_START_DELAY,
+        "an attempt began {latest:?} after the close; {late_attempts} of {attempts} began after one"
+    );
 }
 
-/// What upstream `n` of the measured run does: it fails in its own way, after some time.
-fn mixed(n: usize, m: &Message) -> Reply {
-    let draw = m.header("req-id").unwrap().bytes().map(usize::from).sum::<usize>();
-    thread::sleep(Duration::from_millis((draw * 7 + n * 13) as u64 % 40));
-    match (n + draw) % 4 {
+/// The reply of one upstream of the measured run: an answer or a failure, drawn from the id, after up to 40
+/// ms.
+fn mixed_reply(upstream: usize, request: &Message) -> Reply {
+    let draw = request.header("req-id").unwrap().bytes().map(usize::from).sum::<usize>();
+    thread::sleep(Duration::from_millis((draw * 7 + upstream * 13) as u64 % 40));
+    match (upstream + draw) % 4 {
         0 => error_reply(503, "Srv-Declined: 1\r\n"),
         1 => error_reply(500, ""),
         2 => Reply::SendAndClose(Vec::new()),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,4 +1,4 @@
-//! The end of a process and new settings, forced to cross what clients and discovery do meanwhile.
+//! The shutdown of a process and its reloads, forced to coincide with actions of clients and of discovery.
 
 mod support;
 
@@ -7,113 +7,126 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Short deadlines: closing begins 0.6 s after SIGTERM.
-const SHORT: [(&str, &str); 3] = [
+/// Changes of the settings to short deadlines, with which the closing of connections begins 0.6 s after
+/// SIGTERM.
+const SHORT_DEADLINES: [(&str, &str); 3] = [
     ("\"HardLimitUs\":6000000", "\"HardLimitUs\":500000"),
     ("\"HardLimitUs\":1500000,", "\"HardLimitUs\":500000,"),
     ("\"SloUs\":1500000", "\"SloUs\":500000"),
 ];
 
-/// A balancer with short deadlines and so many descriptors, and the file that its log goes to.
-fn short_with_log(discovery: &Discovery, sockets: u32, hosts: &[String]) -> (Balancer, String) {
+/// Starts a balancer with short deadlines and this limit of sockets; returns it and the path of its log.
+fn start_short_with_log(discovery: &Discovery, sockets: u32, hosts: &[String]) -> (Balancer, String) {
     let (address, log) = (free_address(), write_config_file(""));
-    let text = config_text(address, discovery.address, sockets, hosts).replace(SETTINGS, &short());
-    let b = Balancer::start_with_config(address, &text, |command| {
+    let text = config_text(address, discovery.address, sockets, hosts).replace(SETTINGS, &short_settings());
+    let balancer = Balancer::start_with_config(address, &text, |command| {
         command.stderr(std::fs::File::options().append(true).open(&log).unwrap());
     });
-    (b, log)
+    (balancer, log)
 }
 
-/// Sends SIGTERM and waits until it is taken: of signals that are pending together the kernel gives out any first.
-fn tell_to_end(b: &Balancer, log: &str) -> Instant {
-    let told = Instant::now();
-    b.signal("TERM");
-    wait_until("SIGTERM taken", || std::fs::read_to_string(log).unwrap().contains("told to end"));
-    told
+/// Sends SIGTERM and waits until the log shows that it was received, since the kernel delivers signals that
+/// are pending together in any order. Returns the time just before.
+fn send_sigterm(balancer: &Balancer, log: &str) -> Instant {
+    let sent = Instant::now();
+    balancer.signal("TERM");
+    wait_until("SIGTERM received", || std::fs::read_to_string(log).unwrap().contains("told to end"));
+    sent
 }
 
-fn short() -> String {
-    settings_with(&SHORT).replace("\"SloUs\":6000000", "\"SloUs\":500000")
+/// The settings with short deadlines for both classes.
+fn short_settings() -> String {
+    settings_with(&SHORT_DEADLINES).replace("\"SloUs\":6000000", "\"SloUs\":500000")
 }
 
-/// Guards against a close that crosses bytes of the client: it would be a reset, which may cost the answer before it.
+/// Guards against a close that crosses bytes of the client: it would become a reset, by which the client may
+/// lose the answer before it.
 #[test]
-fn a_resting_connection_ends_without_a_reset() {
+fn an_idle_connection_is_closed_without_a_reset() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let b = start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &short());
-    let mut client = b.connect();
+    let balancer =
+        start_with_settings(&discovery, &[host_entry("s", up.address, 0, "SERVING")], &short_settings());
+    let mut client = balancer.connect();
     assert_eq!(client.request(&look_request("0.4")).status(), 200);
-    b.signal("TERM");
-    assert!(client.read_answer().is_none(), "the end of its sending");
-    // A request that was on its way: nobody takes it, and it does no harm.
+    balancer.signal("TERM");
+    assert!(client.read_answer().is_none(), "the balancer closes its side");
+    // A request that crosses the close is not handled, and the connection is not reset.
     client.send(&look_request("0.4"));
-    thread::sleep(Duration::from_millis(30)); // a reset has its time to come back
+    thread::sleep(Duration::from_millis(30)); // time for a reset to come back
     client.stream.write_all(b"more").expect("no reset");
     assert_eq!(up.request_count(), 1);
 }
 
-/// Guards against new connections that are closed before their first request: they came up just when closing began.
+/// Guards against new connections that are closed before their first request because they were established
+/// just when the closing of connections began.
 #[test]
-fn a_connection_that_came_up_at_the_end_gets_its_answer() {
+fn a_connection_established_at_shutdown_gets_its_answer() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let (b, log) = short_with_log(&discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]);
-    let mut resting = b.connect();
-    resting.request(READY_REQUEST);
-    let told = tell_to_end(&b, &log);
-    b.signal("STOP");
-    let mut new = b.connect();
-    thread::sleep(Duration::from_millis(900).saturating_sub(told.elapsed())); // past the closing and the accepting
-    b.signal("CONT");
-    wait_until("the closing", || is_readable(&resting.stream));
+    let (balancer, log) =
+        start_short_with_log(&discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut idle = balancer.connect();
+    idle.request(READY_REQUEST);
+    let sigterm_sent = send_sigterm(&balancer, &log);
+    balancer.signal("STOP");
+    let mut new = balancer.connect();
+    // Past the start of closing and the end of accepting.
+    thread::sleep(Duration::from_millis(900).saturating_sub(sigterm_sent.elapsed()));
+    balancer.signal("CONT");
+    wait_until("the close of the idle connection", || is_readable(&idle.stream));
     assert_eq!(new.request(&look_request("0.3")).status(), 200);
 }
 
-/// Guards against what waits in the listener's queue, for want of room, when it closes: all of it was reset.
+/// Guards against a reset of connections that, for lack of descriptors, still wait in the queue of the
+/// listener when it is closed: all of them were reset.
 #[test]
-fn what_waits_to_be_accepted_at_the_end_is_answered() {
+fn connections_waiting_to_be_accepted_at_shutdown_are_answered() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
-    let (b, log) = short_with_log(&discovery, 64, &[host_entry("s", up.address, 0, "SERVING")]);
-    let told = tell_to_end(&b, &log);
-    b.signal("STOP");
-    let mut clients: Vec<_> = (0..60).map(|_| b.connect()).collect();
+    let (balancer, log) = start_short_with_log(&discovery, 64, &[host_entry("s", up.address, 0, "SERVING")]);
+    let sigterm_sent = send_sigterm(&balancer, &log);
+    balancer.signal("STOP");
+    let mut clients: Vec<_> = (0..60).map(|_| balancer.connect()).collect();
     clients.iter_mut().for_each(|c| c.send(&look_request("0.3")));
-    thread::sleep(Duration::from_millis(850).saturating_sub(told.elapsed())); // past the accepting
-    b.signal("CONT");
+    // Past the end of accepting.
+    thread::sleep(Duration::from_millis(850).saturating_sub(sigterm_sent.elapsed()));
+    balancer.signal("CONT");
     let answers = clients.iter_mut().filter_map(|c| c.read_answer());
-    assert_eq!(answers.filter(|a| matches!(a.status(), 200 | 503)).count(), 60, "of 60");
+    assert_eq!(answers.filter(|a| matches!(a.status(), 200 | 503)).count(), 60, "answered of 60");
 }
 
-/// Guards against times of the settings before: SIGKILL comes by the new ones.
+/// Guards against a shutdown that follows the deadlines of the settings before: SIGKILL comes by the new
+/// ones.
 #[test]
-fn after_a_reload_the_end_comes_by_the_new_deadlines() {
+fn after_a_reload_the_shutdown_follows_the_new_deadlines() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let hosts = [host_entry("s", up.address, 0, "SERVING")];
-    let mut b = Balancer::start(&discovery, &hosts);
-    let text = config_text(b.address, discovery.address, 1024, &hosts).replace(SETTINGS, &short());
-    std::fs::write(&b.config, with_new_settings(&text)).unwrap();
-    b.signal("HUP");
+    let mut balancer = Balancer::start(&discovery, &hosts);
+    let text =
+        config_text(balancer.address, discovery.address, 1024, &hosts).replace(SETTINGS, &short_settings());
+    std::fs::write(&balancer.config, with_renamed_class(&text)).unwrap();
+    balancer.signal("HUP");
     wait_until("the new settings", || {
-        b.request(&look_request("0.4").replace("/look/", "/view/")).status() == 200
+        balancer.request(&look_request("0.4").replace("/look/", "/view/")).status() == 200
     });
-    b.signal("TERM");
-    let told = Instant::now();
-    assert!(b.wait_for_exit().success());
-    assert!(told.elapsed() < Duration::from_millis(2500), "{:?}", told.elapsed());
+    balancer.signal("TERM");
+    let sigterm_sent = Instant::now();
+    assert!(balancer.wait_for_exit().success());
+    assert!(sigterm_sent.elapsed() < Duration::from_millis(2500), "{:?}", sigterm_sent.elapsed());
 }
 
-/// A configuration like this one with another class, so that SIGHUP brings a new instance of the module.
-fn with_new_settings(text: &str) -> String {
+/// This configuration with another name of the first class, so that SIGHUP starts a new instance of the
+/// decision module.
+fn with_renamed_class(text: &str) -> String {
     text.replace("\"Name\":\"look\"", "\"Name\":\"view\"")
 }
 
-/// Guards against new settings that forget what discovery has told: the file's list is that of an earlier time, and
-/// until a watch of their own came up the new settings sent to a host that drains. One watch goes on for both.
+/// Guards against new settings that fall back to the older list of the configuration file: until they had a
+/// watch of their own, they sent to a host that drains. One watch serves the settings before and after.
 #[test]
-fn new_settings_keep_to_what_discovery_has_told() {
+fn new_settings_keep_the_list_received_from_discovery() {
     let (drains, stays, third) = (
         Upstream::start(|_| ok_reply("drains")),
         Upstream::start(|_| ok_reply("x")),
@@ -121,25 +134,25 @@
     );
     let discovery = Discovery::start();
     let hosts = [host_entry("d", drains.address, 0, "SERVING"), host_entry("s", stays.address, 0, "SERVING")];
-    let at = free_address();
-    let text = config_text(at, discovery.address, 1024, &hosts);
-    let b = Balancer::start_with_config(at, &text, |_| {});
+    let address = free_address();
+    let text = config_text(address, discovery.address, 1024, &hosts);
+    let balancer = Balancer::start_with_config(address, &text, |_| {});
     let (_, mut watch) = discovery.next_watch();
     watch.write_chunk(&(host_list(8, false, &[host_entry("d", drains.address, 0, "DRAINING")]) + "\n"));
-    let settled = |up: &Upstream| {
+    let gets_nothing = |up: &Upstream| {
         let before = up.request_count();
-        (0..8).for_each(|_| assert_eq!(b.request(&look_request("1.2")).status(), 200));
+        (0..8).for_each(|_| assert_eq!(balancer.request(&look_request("1.2")).status(), 200));
         up.request_count() == before
     };
-    wait_until("the list", || settled(&drains));
+    wait_until("the list", || gets_nothing(&drains));
     let before = drains.request_count();
-    std::fs::write(&b.config, with_new_settings(&text)).unwrap();
-    b.signal("HUP");
-    let view = || b.request(&look_request("1.2").replace("/look/", "/view/")).status();
+    std::fs::write(&balancer.config, with_renamed_class(&text)).unwrap();
+    balancer.signal("HUP");
+    let view = || balancer.request(&look_request("1.2").replace("/look/", "/view/")).status();
     wait_until("the new settings", || view() == 200);
     (0..30).for_each(|_| assert_eq!(view(), 200));
-    assert_eq!(drains.request_count(), before, "sent to a host that was told to drain");
-    // The watch is the one that was there.
+    assert_eq!(drains.request_count(), before, "sent to a host that drains");
+    // The next list arrives on the watch that was open before the reload.
     watch.write_chunk(
         &(host_list(
             9,
@@ -154,83 +167,91 @@
     });
 }
 
-/// Guards against new settings that go back to the discovery of the start, which the environment named and the file
-/// has since left.
+/// Guards against new settings that go back to the discovery address of the environment at the start, after
+/// the file has moved discovery to another address.
 #[test]
-fn new_settings_stay_with_the_discovery_that_was_moved_to() {
+fn new_settings_keep_the_discovery_address_of_the_last_reload() {
     let up = Upstream::start(|_| ok_reply("x"));
     let (before, after) = (Discovery::start(), Discovery::start());
-    let at = free_address();
+    let address = free_address();
     let hosts = [host_entry("s", up.address, 0, "SERVING")];
-    let b = Balancer::start_with_config(at, &config_text(at, before.address, 1024, &hosts), |command| {
-        command.env("GW_DISCOVERY", before.address.to_string());
-    });
+    let balancer = Balancer::start_with_config(
+        address,
+        &config_text(address, before.address, 1024, &hosts),
+        |command| {
+            command.env("GW_DISCOVERY", before.address.to_string());
+        },
+    );
     before.next_watch();
-    let moved = config_text(at, after.address, 1024, &hosts);
-    std::fs::write(&b.config, &moved).unwrap();
-    b.signal("HUP");
+    let moved = config_text(address, after.address, 1024, &hosts);
+    std::fs::write(&balancer.config, &moved).unwrap();
+    balancer.signal("HUP");
     let (_, mut watch) = after.next_watch();
-    std::fs::write(&b.config, with_new_settings(&moved)).unwrap();
-    b.signal("HUP");
+    std::fs::write(&balancer.config, with_renamed_class(&moved)).unwrap();
+    balancer.signal("HUP");
     wait_until("the new settings", || {
-        b.request(&look_request("1.2").replace("/look/", "/view/")).status() == 200
+        balancer.request(&look_request("1.2").replace("/look/", "/view/")).status() == 200
     });
     watch.write_chunk("nonsense\n");
     let (line, _watch) = after.next_watch();
     assert!(line.starts_with("GET /v1/endpoints"), "{line}");
-    assert!(before.watches.try_recv().is_err(), "the discovery of the start was asked");
+    assert!(before.watches.try_recv().is_err(), "the discovery of the start was called again");
 }
 
-/// Guards against an end that starts over: SIGTERM again, and SIGHUP with longer deadlines and another discovery, while
-/// it is under way.
+/// Guards against a shutdown that starts over when it is under way and another SIGTERM comes, or a SIGHUP
+/// with longer deadlines and another discovery address.
 #[test]
-fn signals_during_the_end_do_not_put_it_off() {
+fn signals_during_the_shutdown_do_not_delay_it() {
     let up = Upstream::start(|_| ok_reply("x"));
     let discovery = Discovery::start();
     let hosts = [host_entry("s", up.address, 0, "SERVING")];
-    let (mut b, log) = short_with_log(&discovery, 1024, &hosts);
-    let told = tell_to_end(&b, &log);
+    let (mut balancer, log) = start_short_with_log(&discovery, 1024, &hosts);
+    let sigterm_sent = send_sigterm(&balancer, &log);
     let moved = Discovery::start();
-    let longer = config_text(b.address, moved.address, 1024, &hosts);
-    std::fs::write(&b.config, longer).unwrap();
-    b.signal("HUP");
+    let longer = config_text(balancer.address, moved.address, 1024, &hosts);
+    std::fs::write(&balancer.config, longer).unwrap();
+    balancer.signal("HUP");
     moved.next_watch();
-    b.signal("TERM");
-    assert_eq!(b.request(&look_request("0.4")).status(), 200);
-    assert!(b.wait_for_exit().success());
-    assert!(told.elapsed() < Duration::from_millis(2500), "{:?}", told.elapsed());
+    balancer.signal("TERM");
+    assert_eq!(balancer.request(&look_request("0.4")).status(), 200);
+    assert!(balancer.wait_for_exit().success());
+    assert!(sigterm_sent.elapsed() < Duration::from_millis(2500), "{:?}", sigterm_sent.elapsed());
 }
 
-/// Guards against requests that are forgotten, and an end that never comes, where no list was ever heard.
+/// Guards against queued requests that are never answered, and a shutdown that never ends, where no list has
+/// ever been received.
 #[test]
-fn sigterm_before_the_first_list_answers_what_waits() {
+fn sigterm_before_the_first_list_answers_queued_requests() {
     let discovery = Discovery::start();
     let address = free_address();
-    let text = config_text(address, discovery.address, 1024, &[]).replace(SETTINGS, &short());
-    let mut b = Balancer { address, child: program_command(&text).spawn().unwrap(), config: String::new() };
+    let text = config_text(address, discovery.address, 1024, &[]).replace(SETTINGS, &short_settings());
+    let mut balancer =
+        Balancer { address, child: program_command(&text).spawn().unwrap(), config: String::new() };
     wait_until("the listener", || Client::connect(address).is_some());
-    let mut clients: Vec<_> = (0..5).map(|_| b.connect()).collect();
+    let mut clients: Vec<_> = (0..5).map(|_| balancer.connect()).collect();
     clients.iter_mut().for_each(|c| c.send(&look_request("0.4")));
-    b.signal("TERM");
+    balancer.signal("TERM");
     for mut client in clients {
         assert_eq!(client.read_answer().expect("an answer").status(), 503);
     }
-    assert!(b.wait_for_exit().success());
+    assert!(balancer.wait_for_exit().success());
 }
 
-/// Guards against a reset that takes the last answer along: the process does not end with it, but when its client has
-/// ended, or after a quarter of a second.
+/// Guards against a reset by which a client loses the last answer: the process does not exit right after it,
+/// but when the client has closed its connection, or after a quarter of a second.
 #[test]
-fn the_exit_waits_for_the_last_clients_end() {
+fn the_exit_waits_for_the_last_client_to_close() {
     let up = Upstream::start(|_| Reply::NoAnswer);
     let discovery = Discovery::start();
-    let (mut b, log) = short_with_log(&discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]);
-    let mut client = b.connect();
-    let told = tell_to_end(&b, &log);
-    thread::sleep(Duration::from_millis(500).saturating_sub(told.elapsed())); // its answer comes after the accepting
+    let (mut balancer, log) =
+        start_short_with_log(&discovery, 1024, &[host_entry("s", up.address, 0, "SERVING")]);
+    let mut client = balancer.connect();
+    let sigterm_sent = send_sigterm(&balancer, &log);
+    // The answer then comes after the end of accepting.
+    thread::sleep(Duration::from_millis(500).saturating_sub(sigterm_sent.elapsed()));
     assert!(matches!(client.request(&look_request("0.5")).status(), 502 | 503));
     let answered = Instant::now();
-    assert!(client.read_answer().is_none(), "the end of its sending");
-    assert!(b.wait_for_exit().success());
+    assert!(client.read_answer().is_none(), "the balancer closes its side");
+    assert!(balancer.wait_for_exit().success());
     assert!(answered.elapsed() >= Duration::from_millis(200), "{:?}", answered.elapsed());
 }
--- a/tests/support/late.rs
+++ b/tests/support/late.rs
@@ -1,4 +1,5 @@
-//! Upstreams whose connections are established late: the queue of the listener is full until the test makes room.
+//! Upstreams whose connections are established late: the queue of the listener is full until the test makes
+//! room.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,15 +7,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// Changes of the settings: connections may take longer than a SYN takes to be sent again, and attempts are not
-/// cancelled meanwhile.
+/// Changes of the settings: connections may take longer than a SYN takes to be sent again, and attempts are
+/// not cancelled meanwhile.
 pub const LONG_DIAL_WITHOUT_CANCEL: [(&str, &str); 2] = [
     ("\"DialTimeoutUs\":250000", "\"DialTimeoutUs\":5000000"),
     ("\"MayCancel\":true", "\"MayCancel\":false"),
 ];
 
-/// An upstream that accepts no connection until the test allows it: until then the queue of its listener is full, and
-/// the kernel drops each SYN. What is written to the connections accepted later is recorded.
+/// An upstream that accepts no connection until the test allows it: until then the queue of its listener is
+/// full, and the kernel drops each SYN. What is written to the connections accepted later is recorded.
 pub struct FullQueueUpstream {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -30,7 +31,8 @@
     TcpListener::from(socket)
 }
 
-/// Whether a connection to this address is being established: the kernel has sent a SYN that is not answered yet.
+/// Whether a connection to this address is being established: the kernel has sent a SYN that is not answered
+/// yet.
 pub fn is_connecting_to(address: SocketAddr) -> bool {
     let remote = format!("{:08X}:{:04X}", 0x0100_007fu32, address.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -61,8 +63,8 @@
         is_connecting_to(self.address)
     }
 
-    /// Accepts connections from now on. The receiver gets what each connection that is not a filler has sent until it
-    /// ended or sent nothing for 0.3 s.
+    /// Accepts connections from now on. The receiver gets what each connection that is not a filler has sent
+    /// until it ended or sent nothing for 0.3 s.
     pub fn accept_connections(self) -> Receiver<Vec<u8>> {
         let (send, received) = channel();
         thread::spawn(move || {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Runs the real program as a process, together with the parties it talks to: upstreams, discovery and clients.
+//! Runs the real program as a process, together with the parties it talks to: upstreams, discovery and
+//! clients.
 #![allow(dead_code)] // each test program uses only some of these items
 
 pub mod late;
@@ -164,8 +165,8 @@
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
 }
 
-/// A discovery service. It answers each call with "nothing has changed" and hands the open watch, with the request line
-/// of the call, to `watches`; the test writes to it.
+/// A discovery service. It answers each call with "nothing has changed" and hands the open watch, with the
+/// request line of the call, to `watches`; the test writes to it.
 pub struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, Watch)>,
@@ -273,10 +274,10 @@
     )
 }
 
-/// Returns an address on which nobody listens, on a host that no other test and no outgoing connection uses. This
-/// function binds the address but never listens on it: a process that another test forks at this moment holds a copy of
-/// the socket until it executes its program, and a copy that listens would accept connections meant for the program
-/// under test and reset them.
+/// Returns an address on which nobody listens, on a host that no other test and no outgoing connection uses.
+/// This function binds the address but never listens on it: a process that another test forks at this moment
+/// holds a copy of the socket until it executes its program, and a copy that listens would accept connections
+/// meant for the program under test and reset them.
 pub fn free_address() -> SocketAddr {
     let n = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     let host = format!("127.{}.{}.{}:0", 64 + n / 250, std::process::id() % 250 + 1, n % 250 + 1);
@@ -303,8 +304,8 @@
         Balancer::start_with_config(address, &config_text(address, discovery.address, sockets, known), |_| {})
     }
 
-    /// Starts the program with this configuration text, which names `address` as the address to listen on, and waits
-    /// until the program is ready. `change` may adapt the command before it is run.
+    /// Starts the program with this configuration text, which names `address` as the address to listen on,
+    /// and waits until the program is ready. `change` may adapt the command before it is run.
     pub fn start_with_config(address: SocketAddr, text: &str, change: impl Fn(&mut Command)) -> Balancer {
         let config = write_config_file(text);
         let mut command = program_command_for_file(&config);
@@ -421,7 +422,8 @@
     )
 }
 
-/// A running process of the program with an operator's file; the process is killed when this value is dropped.
+/// A running process of the program with an operator's file; the process is killed when this value is
+/// dropped.
 pub struct OperatedBalancer {
     pub balancer: Balancer,
     /// The path of the file that receives the log.
@@ -429,8 +431,8 @@
 }
 
 impl OperatedBalancer {
-    /// Starts the program with this operator's file, in which LISTEN is replaced by the address to listen on, and waits
-    /// until the program is ready.
+    /// Starts the program with this operator's file, in which LISTEN is replaced by the address to listen on,
+    /// and waits until the program is ready.
     pub fn start(text: &str) -> OperatedBalancer {
         let operated = OperatedBalancer::spawn(text);
         let balancer = &operated.balancer;
@@ -445,7 +447,8 @@
         OperatedBalancer::spawn_with_log_to(text, None)
     }
 
-    /// Starts the program without waiting for its readiness; `log_to` may replace the file that receives the log.
+    /// Starts the program without waiting for its readiness; `log_to` may replace the file that receives the
+    /// log.
     pub fn spawn_with_log_to(text: &str, log_to: Option<Stdio>) -> OperatedBalancer {
         let address = free_address();
         let config = write_config_file(&text.replace("LISTEN", &address.to_string()));
@@ -475,7 +478,8 @@
         std::fs::rename(new, &self.balancer.config).unwrap();
     }
 
-    /// Replaces the operator's file, sends SIGHUP, and waits until the log says that the new version is in force.
+    /// Replaces the operator's file, sends SIGHUP, and waits until the log says that the new version is in
+    /// force.
     pub fn reload(&self, text: &str) {
         let before = self.count_in_log("the new version is in force");
         self.replace_config(text);
@@ -516,7 +520,8 @@
     Balancer::start_with_config(address, &text, |_| {})
 }
 
-/// Whether a read from a client's connection would not block: there are bytes to read, or the other side has closed.
+/// Whether a read from a client's connection would not block: there are bytes to read, or the other side has
+/// closed.
 pub fn is_readable(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let is_readable = stream.peek(&mut [0]).is_ok();
--- a/tests/support/scene.rs
+++ b/tests/support/scene.rs
@@ -1,13 +1,14 @@
-//! A scenario with one real process under scripted discovery, upstreams, of which some leave the list and go on serving,
-//! and clients that send requests all the time. When the process counts as notified of a change follows from when the
-//! discovery service had it.
+//! A scenario with one real process under scripted discovery, upstreams, of which some leave the list and go
+//! on serving, and clients that send requests all the time. When the process counts as notified of a change
+//! follows from when the discovery service had it.
 
 use super::scripted::ScriptedDiscovery;
 use super::*;
 use std::sync::atomic::AtomicBool;
 use std::thread::JoinHandle;
 
-/// A change counts as notified this long after discovery could have sent it, or after a stalled watch missed it.
+/// A change counts as notified this long after discovery could have sent it, or after a stalled watch missed
+/// it.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
 /// `DrainGraceUs` of the settings.
@@ -53,12 +54,13 @@
     pub balancer: Balancer,
 }
 
-/// The names of the upstreams, of which the first ones leave. Those that stay are enough for a process whose settings
-/// state a large fleet to have room at them.
+/// The names of the upstreams, of which the first ones leave. Those that stay are enough for a process whose
+/// settings state a large fleet to have room at them.
 pub const UPSTREAM_NAMES: [&str; 6] = ["s0", "s1", "s2", "s3", "s4", "s5"];
 
 impl ListedUpstreams {
-    /// Starts the upstreams and their discovery. The arrival of each request at the first `leavers` upstreams is recorded.
+    /// Starts the upstreams and their discovery. The arrival of each request at the first `leavers` upstreams
+    /// is recorded.
     pub fn start(leavers: usize) -> ListedUpstreams {
         let arrivals_at_leavers: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let upstreams = (0..UPSTREAM_NAMES.len()).map(|n| {
@@ -86,8 +88,8 @@
 }
 
 impl Scenario {
-    /// Starts a process whose settings state this number of instances and whose configuration lists all upstreams as
-    /// serving, and then its clients.
+    /// Starts a process whose settings state this number of instances and whose configuration lists all
+    /// upstreams as serving, and then its clients.
     pub fn start(listed: ListedUpstreams, instances: u32, seed: u64) -> Scenario {
         let address = free_address();
         let text = config_text(address, listed.discovery.address, 1024, &listed.known)
@@ -104,8 +106,8 @@
         Scenario { listed, outcomes, stop, clients, balancer }
     }
 
-    /// Has the process load a new configuration that names this address of discovery, and with `changes_settings` also
-    /// another worth of the first class.
+    /// Has the process load a new configuration that names this address of discovery, and with
+    /// `changes_settings` also another worth of the first class.
     pub fn reconfigure(&self, discovery: SocketAddr, changes_settings: bool) {
         let text = std::fs::read_to_string(&self.balancer.config).unwrap();
         let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -120,8 +122,8 @@
         self.balancer.signal("HUP");
     }
 
-    /// The number of requests that reached upstreams that leave too late: `binds` is when a departure binds the process,
-    /// to which the grace, the allowance and the lag are added.
+    /// The number of requests that reached upstreams that leave too late: `binds` is when a departure binds
+    /// the process, to which the grace, the allowance and the lag are added.
     pub fn late_arrivals(&self, binds: Instant) -> usize {
         let latest = binds + GRACE + LIMIT_ALLOWANCE + DELIVERY_LAG;
         self.arrivals_at_leavers.lock().unwrap().iter().filter(|&&at| at > latest).count()
--- a/tests/support/scripted.rs
+++ b/tests/support/scripted.rs
@@ -1,6 +1,7 @@
-//! A discovery service that a test directs. One [`Service`] for all processes of a run has the list and its versions, and
-//! is up, busy or down for all of them; a [`ScriptedDiscovery`] is the link of one process to the service, with faults of
-//! its own. A list may show an older version than the current one, and it may be composed long before it is written.
+//! A discovery service that a test directs. One [`Service`] for all processes of a run has the list and its
+//! versions, and is up, busy or down for all of them; a [`ScriptedDiscovery`] is the link of one process to
+//! the service, with faults of its own. A list may show an older version than the current one, and it may be
+//! composed long before it is written.
 
 use super::{host_entry, host_list, Message};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -20,7 +21,8 @@
 /// How long a call waits before a late refusal or a late close.
 const LATE_REFUSAL_DELAY: Duration = Duration::from_secs(2);
 
-/// The time between two bytes of an answer that trickles: the whole answer takes longer than any process waits.
+/// The time between two bytes of an answer that trickles: the whole answer takes longer than any process
+/// waits.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The version number of the list with which the service starts.
@@ -92,7 +94,8 @@
     pub lists: Duration,
     /// How long after the service has a change it is written on open watches.
     pub changes: Duration,
-    /// How a watch is lost at the time when a change would be written on it; with `None` the change is written.
+    /// How a watch is lost at the time when a change would be written on it; with `None` the change is
+    /// written.
     pub loss_at_change: Option<WatchLoss>,
 }
 
@@ -149,7 +152,8 @@
         shown.unwrap_or(&self.versions[0]).clone()
     }
 
-    /// Makes a new version in which a host has this health; while the service is down, only records the change.
+    /// Makes a new version in which a host has this health; while the service is down, only records the
+    /// change.
     fn set_health(&mut self, name: &str, health: &'static str) {
         if matches!(self.state(), ServiceState::Down(_)) {
             return self.pending_changes.push((name.to_string(), health));
@@ -189,8 +193,8 @@
         self.0.lock().unwrap()
     }
 
-    /// Must not be called under the lock of a link: the thread that updates watches takes both locks, that of the service
-    /// first, so that the other order would be a deadlock.
+    /// Must not be called under the lock of a link: the thread that updates watches takes both locks, that of
+    /// the service first, so that the other order would be a deadlock.
     fn state(&self) -> ServiceState {
         self.inner().state()
     }
@@ -400,7 +404,8 @@
     }
 }
 
-/// Writes on each watch what has changed, or an empty line when one is due; a watch may be lost instead of a change.
+/// Writes on each watch what has changed, or an empty line when one is due; a watch may be lost instead of a
+/// change.
 fn update_watches(service: &ServiceInner, link: &mut Link) {
     if let ServiceState::Down(_) = service.state() {
         return link.lose_watches(WatchLoss::Reset);
@@ -495,7 +500,8 @@
     }
 }
 
-/// Reads a call and answers it. Write errors are ignored: they mean that the caller has closed the connection.
+/// Reads a call and answers it. Write errors are ignored: they mean that the caller has closed the
+/// connection.
 fn handle_call(mut stream: TcpStream, service: &Service, link: &Mutex<Link>, behind: Duration) {
     if Message::read(&mut BufReader::new(stream.try_clone().unwrap())).is_none() {
         return;
