--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -468,8 +468,8 @@
     );
 }
 
-/// The reply of one upstream of the measured run: an answer or a failure, drawn from the id, after up to 40
-/// ms.
+/// The reply of one upstream of the measured run: an answer or a failure, drawn from the id, after up to
+/// 40 ms.
 fn mixed_reply(upstream: usize, request: &Message) -> Reply {
     let draw = request.header("req-id").unwrap().bytes().map(usize::from).sum::<usize>();
     thread::sleep(Duration::from_millis((draw * 7 + upstream * 13) as u64 % 40));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,7 @@
-//! Soak of restarts and discovery faults: real processes over loopback under a schedule drawn from a seed, the rules checked
-//! from outside. In the suite a few fixed seeds; by hand more of them:
-//! `SOAK_SEEDS=50 SOAK_SIDE_BY_SIDE=8 cargo test --locked --test soak -- --nocapture`, and one alone with `SOAK_SEED=7`.
+//! Soak test of restarts and discovery faults: real processes over loopback run a schedule that is drawn from
+//! a seed, and rules are checked by what clients, upstreams and discovery observe. The suite runs a few fixed
+//! seeds. More seeds are run by hand, with `SOAK_SEEDS=50 SOAK_SIDE_BY_SIDE=8 cargo test --locked --test soak
+//! -- --nocapture`, or one seed with `SOAK_SEED=7`.
 
 mod check;
 mod play;
@@ -9,85 +10,95 @@
 #[path = "../support/mod.rs"]
 mod support;
 
-use check::{check, Verdict};
+use check::{check_run, CheckResult};
 use schedule::Schedule;
 use std::thread;
 
-/// Seeds of the suite, and how many runs go on side by side.
-const SEEDS: u64 = 4;
-const SIDE_BY_SIDE: u64 = 4;
+/// The number of seeds that the suite runs, counted from 1.
+const SUITE_SEEDS: u64 = 4;
 
-/// So many breaks of a run are printed.
-const PRINTED: usize = 5;
+/// The number of runs at the same time, unless `SOAK_SIDE_BY_SIDE` gives another one.
+const PARALLEL_RUNS: u64 = 4;
 
-fn variable(name: &str) -> Option<u64> {
+/// The largest number of violations of a run that are printed.
+const MAX_PRINTED: usize = 5;
+
+/// The number in an environment variable, if it is set to one.
+fn number_from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|value| value.parse().ok())
 }
 
-fn run(seed: u64) -> (u64, Verdict) {
+/// Runs the schedule of a seed, checks the run, and prints a summary, with the violations if there are any.
+fn run_seed(seed: u64) -> (u64, CheckResult) {
     let schedule = Schedule::draw(seed);
-    let course = play::play(&schedule);
-    let verdict = check(&schedule, &course);
+    let record = play::run_schedule(&schedule);
+    let result = check_run(&schedule, &record);
     println!(
-        "seed {seed}: {} instances, deadline {:.2?}, {} events; {} requests, {} breaks; served {:.3} before, {:.3} in all, \
+        "seed {seed}: {} instances, deadline {:.2?}, {} events; {} requests, {} violations; served {:.3} before, {:.3} in all, \
          {:.3} after",
         schedule.instances,
         schedule.deadline,
         schedule.events.len(),
-        verdict.requests,
-        verdict.breaks.len(),
-        verdict.served_before,
-        verdict.served_all,
-        verdict.served_after,
+        result.requests,
+        result.violations.len(),
+        result.served_before,
+        result.served_all,
+        result.served_after,
     );
-    if !verdict.breaks.is_empty() {
-        verdict.breaks.iter().take(PRINTED).for_each(|b| println!("  {b}"));
-        course.processes.iter().for_each(|p| println!("  log: {}", p.log));
-        println!("  again: SOAK_SEED={seed} cargo test --locked --test soak -- --nocapture\n  {schedule:?}");
+    if !result.violations.is_empty() {
+        result.violations.iter().take(MAX_PRINTED).for_each(|v| println!("  {v}"));
+        record.processes.iter().for_each(|p| println!("  log: {}", p.log));
+        println!(
+            "  run again: SOAK_SEED={seed} cargo test --locked --test soak -- --nocapture\n  {schedule:?}"
+        );
     }
-    (seed, verdict)
+    (seed, result)
 }
 
-/// Fleets of more than 18 instances, in which refusals of one process's calls still pass for an outage.
+/// Guards against requests to upstreams that have left in fleets of more than 18 instances, in which a
+/// process takes refusals of its own calls for an outage.
 #[test]
 fn the_rules_hold_in_a_large_fleet_whose_discovery_refuses_one_process() {
     const SEED: u64 = 19;
-    assert_eq!(run(SEED).1.breaks, []);
+    assert_eq!(run_seed(SEED).1.violations, []);
 }
 
-/// The same by other ways in which calls end, in fleets of 990 and 220.
+/// Guards against the same failure in a fleet of 990, where calls fail in other ways than by a refusal.
 #[test]
 fn the_rules_hold_in_a_fleet_of_990_whose_calls_fail_one_by_one() {
     const SEED: u64 = 22;
-    assert_eq!(run(SEED).1.breaks, []);
+    assert_eq!(run_seed(SEED).1.violations, []);
 }
 
+/// Guards against the same failure in a fleet of 220, where calls fail in other ways than by a refusal.
 #[test]
 fn the_rules_hold_in_a_fleet_of_220_whose_calls_fail_one_by_one() {
     const SEED: u64 = 25;
-    assert_eq!(run(SEED).1.breaks, []);
+    assert_eq!(run_seed(SEED).1.violations, []);
 }
 
-/// Processes that start while connections to discovery are refused go by the list of their configuration, of any age.
+/// Guards against requests to upstreams that have left where processes start while connections to discovery
+/// are refused: they use the list of their configuration, which may be of any age.
 #[test]
 fn the_rules_hold_where_processes_start_while_discovery_refuses_connections() {
     const SEED: u64 = 42;
-    assert_eq!(run(SEED).1.breaks, []);
+    assert_eq!(run_seed(SEED).1.violations, []);
 }
 
+/// Checks the rules over the seeds of the suite, or over those that the environment names.
 #[test]
 fn the_rules_hold_under_restarts_and_discovery_faults() {
-    let seeds: Vec<u64> = match variable("SOAK_SEED") {
+    let seeds: Vec<u64> = match number_from_env("SOAK_SEED") {
         Some(seed) => vec![seed],
-        None => (1..=variable("SOAK_SEEDS").unwrap_or(SEEDS)).collect(),
+        None => (1..=number_from_env("SOAK_SEEDS").unwrap_or(SUITE_SEEDS)).collect(),
     };
-    let mut breaking = Vec::new();
-    let side_by_side = variable("SOAK_SIDE_BY_SIDE").unwrap_or(SIDE_BY_SIDE) as usize;
-    for some in seeds.chunks(side_by_side.max(1)) {
-        let runs: Vec<_> = some.iter().map(|&seed| thread::spawn(move || run(seed))).collect();
-        let verdicts = runs.into_iter().map(|r| r.join().unwrap());
-        breaking.extend(verdicts.filter(|(_, v)| !v.breaks.is_empty()).map(|(seed, _)| seed));
+    let mut failed_seeds = Vec::new();
+    let parallel_runs = number_from_env("SOAK_SIDE_BY_SIDE").unwrap_or(PARALLEL_RUNS) as usize;
+    for batch in seeds.chunks(parallel_runs.max(1)) {
+        let runs: Vec<_> = batch.iter().map(|&seed| thread::spawn(move || run_seed(seed))).collect();
+        let results = runs.into_iter().map(|r| r.join().unwrap());
+        failed_seeds.extend(results.filter(|(_, r)| !r.violations.is_empty()).map(|(seed, _)| seed));
     }
-    println!("{} of {} seeds without a break", seeds.len() - breaking.len(), seeds.len());
-    assert!(breaking.is_empty(), "seeds with breaks: {breaking:?}");
+    println!("{} of {} seeds without a violation", seeds.len() - failed_seeds.len(), seeds.len());
+    assert!(failed_seeds.is_empty(), "seeds with violations: {failed_seeds:?}");
 }
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -1,40 +1,46 @@
-//! What clients and upstreams saw of each request.
+//! The record of each request, as its client and its upstreams saw it.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A request reached an upstream.
+/// The arrival of one attempt of a request at an upstream.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
+    /// The number of the upstream.
     pub upstream: usize,
+    /// Whether the upstream declined the request.
     pub declined: bool,
-    /// What it tells of the time that is left.
+    /// The remaining time that the request states.
     pub deadline: Option<Duration>,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Answered {
-        status: u16,
-    },
-    /// Its connection ended without an answer.
+pub enum RequestEnd {
+    /// The client got an answer.
+    Answered { status: u16 },
+    /// The connection ended without an answer.
     Closed,
-    /// Nothing came for longer than it may take.
-    Silent,
-    /// The client left.
+    /// No answer came in the time that an answer may take.
+    NoAnswer,
+    /// The client closed its connection before an answer.
     Left,
 }
 
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// The number of the process that the request was sent to.
     pub process: usize,
     pub sent: Instant,
+    /// The time from the sending within which the client wants an answer.
     pub deadline: Duration,
+    /// Whether the request may run more than once.
     pub may_be_repeated: bool,
-    pub ended: Option<(Instant, End)>,
+    /// When and how the request ended for its client; `None` while it is under way.
+    pub ended: Option<(Instant, RequestEnd)>,
     pub arrivals: Vec<Arrival>,
 }
 
@@ -45,21 +51,25 @@
 }
 
 impl Records {
+    /// The requests by their ids, locked.
     pub fn lock(&self) -> MutexGuard<'_, HashMap<String, Request>> {
         self.requests.lock().unwrap()
     }
 
-    pub fn sent(&self, id: &str, request: Request) {
+    /// Records a request that is about to be sent.
+    pub fn record_sent(&self, id: &str, request: Request) {
         self.lock().insert(id.to_string(), request);
     }
 
-    pub fn ended(&self, id: &str, end: End) {
+    /// Records the end of a request.
+    pub fn record_end(&self, id: &str, end: RequestEnd) {
         if let Some(request) = self.lock().get_mut(id) {
             request.ended = Some((Instant::now(), end));
         }
     }
 
-    pub fn arrived(&self, id: &str, arrival: Arrival) {
+    /// Records the arrival of an attempt at an upstream.
+    pub fn record_arrival(&self, id: &str, arrival: Arrival) {
         if let Some(request) = self.lock().get_mut(id) {
             request.arrivals.push(arrival);
         }
