--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -31,7 +31,7 @@
 /// The limit of descriptors in the configuration of a process.
 const SOCKETS: u32 = 96;
 
-/// The number of idle clients, more than a process has descriptors for.
+/// The number of idle clients: more than a process has room for beside its other descriptors.
 const IDLE_CLIENTS: usize = 90;
 
 /// How long a process is paused: 0.15 s at most, with the time that it takes to wake up and send the second
