--- a/tests/list_age.rs
+++ b/tests/list_age.rs
@@ -211,7 +211,7 @@
     check(rows.iter().map(|&(title, answers)| Fault::with_answers(title, LARGE_FLEET, answers)).collect());
 }
 
-/// Guards against what remains of that failure in a large fleet: calls of this process alone that are refused
+/// Shows what remains of that failure in a large fleet: calls of this process alone that are refused
 /// by 503 count as an outage, because the platform's outages look the same to a process.
 #[test]
 fn calls_that_are_turned_away_keep_no_list_in_use_in_a_large_fleet() {
