--- a/tests/client_closes.rs
+++ b/tests/client_closes.rs
@@ -224,7 +224,7 @@
     check_no_further_attempt(&[WITHOUT_CANCEL], |_| {});
 }
 
-/// Guards against the same retry while the process shuts down.
+/// Guards against a retry for a client that has left while the process shuts down.
 #[test]
 fn during_shutdown_a_failed_attempt_is_not_repeated_once_its_client_has_left() {
     check_no_further_attempt(&[WITHOUT_CANCEL], |balancer| {
--- a/tests/list_age.rs
+++ b/tests/list_age.rs
@@ -191,11 +191,11 @@
     check(faults.collect());
 }
 
-/// Guards against the same failure in a large fleet, where calls refused by 503 count as an outage for a
-/// while. A connection that is established shows that discovery is up: one that ends, or stays open, without
-/// a byte is no outage of the platform's discovery, which answers 503 then (on a rough herd day of the bench,
-/// to all of 315 failed calls). Before the fix, 115 to 173 requests came too late in six of the seven
-/// scenarios.
+/// Guards against a list that stays in use unconfirmed in a large fleet, where calls refused by 503 count as
+/// an outage for a while. A connection that is established shows that discovery is up: one that ends, or
+/// stays open, without a byte is no outage of the platform's discovery, which answers 503 then (on a rough
+/// herd day of the bench, to all of 315 failed calls). Before the fix, 115 to 173 requests came too late in
+/// six of the seven scenarios.
 #[test]
 fn calls_without_a_byte_of_answer_do_not_extend_the_use_of_a_list_in_a_large_fleet() {
     use CallAnswer::{Closed, ClosedLate, Late, NoAnswer, Reset, WholeList};
@@ -211,8 +211,8 @@
     check(rows.iter().map(|&(title, answers)| Fault::with_answers(title, LARGE_FLEET, answers)).collect());
 }
 
-/// Shows what remains of that failure in a large fleet: calls of this process alone that are refused
-/// by 503 count as an outage, because the platform's outages look the same to a process.
+/// Shows in which case a list stays in use unconfirmed in a large fleet: calls of this process alone that are
+/// refused by 503 count as an outage, because the platform's outages look the same to a process.
 #[test]
 fn calls_that_are_turned_away_keep_no_list_in_use_in_a_large_fleet() {
     use CallAnswer::{BusyAtOnce, BusyLate, WholeList};
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -307,8 +307,8 @@
     text.split("\"discovery\":\"").nth(1).and_then(|t| t.split('"').next()).unwrap()
 }
 
-/// Guards against the same lack of descriptors after a reload, when a second pool exists beside the first for
-/// a while: one watch serves both pools.
+/// Guards against idle clients that take the descriptors for the watch after a reload, when a second pool
+/// exists beside the first for a while: one watch serves both pools.
 #[test]
 fn idle_clients_do_not_block_the_watch_of_a_second_pool() {
     let up = Upstream::start(|_| ok_reply("x"));
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -113,14 +113,15 @@
     check_moves_to_another_upstream(|_, _| {}, |late| vec![host_entry("l", late, 0, "DRAINING")]);
 }
 
-/// Guards against the same new work for a host that a whole list leaves out.
+/// Guards against new work for a host that is left out of a whole list which came while the connection to it
+/// was being established.
 #[test]
 fn a_request_waiting_for_its_connection_moves_to_another_upstream_once_its_host_is_left_out() {
     check_moves_to_another_upstream(|_, _| {}, |_| Vec::new());
 }
 
-/// Guards against the same new work where new settings come into force in between: lists that arrive later
-/// also have to reach requests that were accepted under the settings before.
+/// Guards against new work for a draining host where new settings come into force before the list that says
+/// so: lists that arrive later also have to reach requests that were accepted under the settings before.
 #[test]
 fn later_lists_reach_requests_accepted_before_new_settings() {
     let new_settings = |balancer: &Balancer, text: &str| {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -63,14 +63,16 @@
     assert_eq!(run_seed(SEED).1.violations, []);
 }
 
-/// Guards against the same failure in a fleet of 990, where calls fail in other ways than by a refusal.
+/// Guards against requests to upstreams that have left in a fleet of 990, where calls fail in other ways than
+/// by a refusal.
 #[test]
 fn the_rules_hold_in_a_fleet_of_990_whose_calls_fail_one_by_one() {
     const SEED: u64 = 22;
     assert_eq!(run_seed(SEED).1.violations, []);
 }
 
-/// Guards against the same failure in a fleet of 220, where calls fail in other ways than by a refusal.
+/// Guards against requests to upstreams that have left in a fleet of 220, where calls fail in other ways than
+/// by a refusal.
 #[test]
 fn the_rules_hold_in_a_fleet_of_220_whose_calls_fail_one_by_one() {
     const SEED: u64 = 25;
