--- a/crates/experiment/src/stats.rs
+++ b/crates/experiment/src/stats.rs
@@ -1,7 +1,7 @@
 //! Means over seeds with their confidence intervals, and differences on the same seeds.
 
 use crate::run::Row;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -62,18 +62,18 @@
 ];
 
 /// The rows of a case and a policy.
-fn rows<'r>(all: &'r [Row], case: &'r str, policy: Kind) -> impl Iterator<Item = &'r Row> {
+fn rows<'r>(all: &'r [Row], case: &'r str, policy: PolicyKind) -> impl Iterator<Item = &'r Row> {
     all.iter().filter(move |r| r.case == case && r.policy == policy)
 }
 
 /// The mean of a figure for a case and a policy, over all seeds.
-pub fn mean(all: &[Row], case: &str, policy: Kind, figure: &Figure) -> Mean {
+pub fn mean(all: &[Row], case: &str, policy: PolicyKind, figure: &Figure) -> Mean {
     Mean::from_values(&rows(all, case, policy).map(figure.value).collect::<Vec<_>>())
 }
 
 /// The mean difference of a policy from another on the same seeds. On one seed both get the same clients,
 /// work and faults, so that most of the variation between seeds cancels out.
-pub fn paired(all: &[Row], case: &str, policy: Kind, reference: Kind, figure: &Figure) -> Mean {
+pub fn paired(all: &[Row], case: &str, policy: PolicyKind, reference: PolicyKind, figure: &Figure) -> Mean {
     let on_seed = |seed| rows(all, case, reference).find(|r| r.seed == seed).map(figure.value);
     let differences = rows(all, case, policy).filter_map(|r| Some((figure.value)(r) - on_seed(r.seed)?));
     Mean::from_values(&differences.collect::<Vec<_>>())
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -336,8 +336,11 @@
         let mut out = "| seed | virtual | sockets | late by, ms |\n| --- | --- | --- | --- |\n".to_string();
         let mut means = [0.0; 2];
         for seed in 1..=self.seeds {
-            let virtual_day =
-                garnettally_emulator::day::run(&world, seed, garnettally_emulator::policy::Kind::Module);
+            let virtual_day = garnettally_emulator::day::run(
+                &world,
+                seed,
+                garnettally_emulator::policy::PolicyKind::Module,
+            );
             let (report, fleet) = run_once(&world, seed, None, false)?;
             if !fleet.valid || !report.valid {
                 return Err(format!(
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use garnettally_drill::Script;
 use garnettally_emulator::day;
-use garnettally_emulator::policy::Kind;
+use garnettally_emulator::policy::PolicyKind;
 use garnettally_emulator::world::World;
 use garnettally_experiment::plan::Plan;
 use garnettally_experiment::{publish, run};
@@ -26,15 +26,18 @@
     seed: u64,
     /// Policy that chooses the nodes: module (the decision module), or a reference to compare it with
     #[arg(long, default_value = "module", value_parser = parse_policy)]
-    policy: Kind,
+    policy: PolicyKind,
     /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-fn parse_policy(name: &str) -> Result<Kind, String> {
-    let names = || Kind::ALL.map(Kind::name).join(", ");
-    Kind::ALL.into_iter().find(|k| k.name() == name).ok_or_else(|| format!("the policies are {}", names()))
+fn parse_policy(name: &str) -> Result<PolicyKind, String> {
+    let names = || PolicyKind::ALL.map(PolicyKind::name).join(", ");
+    PolicyKind::ALL
+        .into_iter()
+        .find(|k| k.name() == name)
+        .ok_or_else(|| format!("the policies are {}", names()))
 }
 
 impl Emulate {
@@ -48,7 +51,7 @@
             true => serde_json::to_string_pretty(&report).map_err(|e| e.to_string())? + "\n",
             false => report.text(),
         };
-        if report.lawful() {
+        if report.all_rules_kept() {
             Ok(text)
         } else {
             Err(format!("a rule was broken\n{text}"))
@@ -82,7 +85,7 @@
         publish::publish(&plan, &rows, &self.out).map_err(|e| format!("{out}: {e}"))?;
         // Reference policies break rules by design, because they have no slow start. Their broken rules stand
         // in the table, and only those of the decision module are an error.
-        let broken: u64 = rows.iter().filter(|r| r.policy == Kind::Module).map(|r| r.broken).sum();
+        let broken: u64 = rows.iter().filter(|r| r.policy == PolicyKind::Module).map(|r| r.broken).sum();
         let text = format!(
             "{}\n{} cells; results.csv, results.md and results.html are in {out}\n",
             publish::markdown(&plan, &rows),
--- a/tests/shared_discovery.rs
+++ b/tests/shared_discovery.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use garnettally_emulator::registry::{RegistryFigures, RegistryLimits, RegistryQueue, Verdict};
+use garnettally_emulator::registry::{CallOutcome, RegistryFigures, RegistryLimits, RegistryQueue};
 use garnettally_model::Micros;
 use socket2::SockRef;
 use std::io::{BufReader, Write};
@@ -26,8 +26,8 @@
 const LIMITS: RegistryLimits = RegistryLimits {
     lines_per_second: 120.0,
     call_lines: 30,
-    wait_most: Micros(2_000_000),
-    backlog_most: Micros(5_000_000),
+    max_wait: Micros(2_000_000),
+    max_backlog: Micros(5_000_000),
 };
 
 /// With these limits a call takes 0.13 s, and one call of each process 3.9 s.
@@ -104,11 +104,11 @@
     }
 
     /// Decides whether and when a call is answered.
-    fn decide_call(&mut self, now: Instant) -> Verdict {
+    fn decide_call(&mut self, now: Instant) -> CallOutcome {
         let at = self.since_start(now);
         match self.uses_queue {
             true => self.queue.call(at, ANSWER_LINES),
-            false => Verdict::Answered { at },
+            false => CallOutcome::Answered { at },
         }
     }
 
@@ -229,17 +229,19 @@
     if Message::read(&mut BufReader::new(stream.try_clone().unwrap())).is_none() {
         return;
     }
-    let (verdict, started) = {
+    let (outcome, started) = {
         let mut state = state.lock().unwrap();
         (state.decide_call(Instant::now()), state.started)
     };
-    let (Verdict::Answered { at } | Verdict::Refused { at }) = verdict;
+    let (CallOutcome::Answered { at } | CallOutcome::Refused { at }) = outcome;
     let due = started + Duration::from_micros(at.0 as u64);
     thread::sleep(due.saturating_duration_since(Instant::now()));
-    match verdict {
-        Verdict::Answered { .. } => state.lock().unwrap().open_watch(process, stream),
+    match outcome {
+        CallOutcome::Answered { .. } => state.lock().unwrap().open_watch(process, stream),
         // The caller may have closed the connection.
-        Verdict::Refused { .. } => drop(stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
+        CallOutcome::Refused { .. } => {
+            drop(stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
+        }
     }
 }
 
