--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -177,8 +177,10 @@
         ("voters = [\"b\"]\nlease = \"2m\"\n", "fleet.duties.lease", "longer than a minute"),
         ("voters = [\"b\"]\nnames = [\"x\", \"x\"]\n", "fleet.duties.names[1]", "no name of its own"),
     ] {
-        let file =
-            config_file(&format!("{}{fleet}{table}", FILE_WITHOUT_FLEET.replace("LISTEN", "127.0.0.1:0")));
+        let file = write_config_file(&format!(
+            "{}{fleet}{table}",
+            FILE_WITHOUT_FLEET.replace("LISTEN", "127.0.0.1:0")
+        ));
         let output = output_text(&run(&["check", &file]));
         assert!(output.contains(key) && output.contains(part), "{table}: {output}");
     }
@@ -188,7 +190,7 @@
 /// restart. A second process may not use its folder.
 #[test]
 fn epochs_of_a_single_voter_increase_over_a_restart() {
-    let folder = std::path::PathBuf::from(config_file("x")).with_extension("state");
+    let folder = std::path::PathBuf::from(write_config_file("x")).with_extension("state");
     let admin = free_address();
     let file = |admin: std::net::SocketAddr| {
         format!(
@@ -198,7 +200,7 @@
     };
     let epoch = |admin: std::net::SocketAddr| {
         let mut epoch = 0;
-        until("an owner", || {
+        wait_until("an owner", || {
             let out = run(&["duties", "--json", &admin.to_string()]);
             let reply: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
             epoch = reply["owned"][0]["epoch"].as_u64().unwrap_or(0);
@@ -206,19 +208,19 @@
         });
         epoch
     };
-    let first = Operated::start(&file(admin));
+    let first = OperatedBalancer::start(&file(admin));
     let before = epoch(admin);
     let table = output_text(&run(&["duties", &admin.to_string()]));
     assert!(table.contains("report") && table.contains("acts") && table.contains("leads"), "{table}");
     let refused = output_text(&run(&["duties", &admin.to_string(), "move", "report", "nobody"]));
     assert!(refused.contains("no member called"), "{refused}");
     let other = free_address();
-    let second = Operated::start(&file(other));
-    until("the refusal", || second.logged("another process has this folder") > 0);
-    assert_eq!(second.ask(&get("/")).status() / 100, 5, "the process continues to serve");
+    let second = OperatedBalancer::start(&file(other));
+    wait_until("the refusal", || second.count_in_log("another process has this folder") > 0);
+    assert_eq!(second.request(&get_request("/")).status() / 100, 5, "the process continues to serve");
     drop((first, second));
     let third = free_address();
-    let _third = Operated::start(&file(third));
+    let _third = OperatedBalancer::start(&file(third));
     let after = epoch(third);
     assert!(after > before, "epoch {after} after {before}: a restarted process needs a higher epoch");
 }
@@ -270,7 +272,7 @@
             "all go by a verdict on a sick node",
         ),
     ] {
-        let file = config_file(&script);
+        let file = write_config_file(&script);
         let out = run(&["drill", &file]);
         assert_eq!(out.status.code(), Some(1), "{what}: {}", output_text(&out));
         assert!(
@@ -279,7 +281,7 @@
             output_text(&out)
         );
     }
-    let out = run(&["drill", &config_file("members = 0\ntime = \"1s\"")]);
+    let out = run(&["drill", &write_config_file("members = 0\ntime = \"1s\"")]);
     assert!(output_text(&out).contains("members: 0 is out of range"), "{}", output_text(&out));
 }
 
@@ -318,25 +320,26 @@
 #[test]
 fn without_a_fleet_table_there_is_no_fleet_socket_thread_or_figure() {
     let discovery = Discovery::start();
-    let upstream = Upstream::start(|_| ok("x"));
-    let platform = Balancer::start(&discovery, &[host("s", upstream.address, 0, "SERVING")]);
+    let upstream = Upstream::start(|_| ok_reply("x"));
+    let platform = Balancer::start(&discovery, &[host_entry("s", upstream.address, 0, "SERVING")]);
     let (sockets, threads) = count_sockets_and_threads(platform.child.id());
     assert_eq!(sockets, 0, "a datagram socket on the platform");
     let admin = free_address();
-    let plain = Operated::start(&format!("{FILE_WITHOUT_FLEET}[admin]\naddress = \"{admin}\"\n"));
+    let plain = OperatedBalancer::start(&format!("{FILE_WITHOUT_FLEET}[admin]\naddress = \"{admin}\"\n"));
     assert_eq!(count_sockets_and_threads(plain.child.id()), (0, threads));
     let refused = run(&["members", &admin.to_string()]);
     assert_eq!(refused.status.code(), Some(1));
     assert!(output_text(&refused).contains("no [fleet] in its file"), "{}", output_text(&refused));
     let refused = run(&["duties", &admin.to_string()]);
     assert!(output_text(&refused).contains("no [fleet.duties] in its file"), "{}", output_text(&refused));
-    let stats = Client::connect(admin).unwrap().ask("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
+    let stats = Client::connect(admin).unwrap().request("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
     let figures = String::from_utf8_lossy(&stats.body).to_string();
     assert!(!figures.contains("fleet") && !figures.contains("duties"));
     // With a [fleet] table the same check must find a socket, or it could not fail.
     let admin = free_address();
     let fleet = "[fleet]\naddress = \"127.0.0.1:0\"\nname = \"alone\"\n";
-    let member = Operated::start(&format!("{FILE_WITHOUT_FLEET}[admin]\naddress = \"{admin}\"\n{fleet}"));
+    let member =
+        OperatedBalancer::start(&format!("{FILE_WITHOUT_FLEET}[admin]\naddress = \"{admin}\"\n{fleet}"));
     assert_eq!(
         count_sockets_and_threads(member.child.id()),
         (1, threads),
@@ -347,7 +350,7 @@
     let json: serde_json::Value =
         serde_json::from_slice(&run(&["members", "--json", &admin.to_string()]).stdout).unwrap();
     assert_eq!((&json["alive"], &json["members"][0]["state"]), (&1.into(), &"self".into()));
-    let stats = Client::connect(admin).unwrap().ask("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
+    let stats = Client::connect(admin).unwrap().request("GET /stats HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(String::from_utf8_lossy(&stats.body).contains("edge_gw.fleet.members_alive:1|g"));
 }
 
@@ -355,22 +358,24 @@
 /// log reports it.
 #[test]
 fn a_damaged_key_file_leaves_the_keys_unchanged() {
-    let keys = config_file(&format!("1 {}\n", "ab".repeat(32)));
+    let keys = write_config_file(&format!("1 {}\n", "ab".repeat(32)));
     let admin = free_address();
     let fleet = format!("[fleet]\naddress = \"127.0.0.1:0\"\nname = \"a\"\nkey_file = \"{keys}\"\n");
     let file = format!("{FILE_WITHOUT_FLEET}[admin]\naddress = \"{admin}\"\n{fleet}");
-    let member = Operated::start(&file);
+    let member = OperatedBalancer::start(&file);
     std::fs::write(&keys, "1 not a key\n").unwrap();
     member.reload(&file);
-    until("the warning in the log", || member.logged("the fleet's keys before stay in force") == 1);
-    assert!(member.log().contains("line 1"), "{}", member.log());
+    wait_until("the warning in the log", || {
+        member.count_in_log("the fleet's keys before stay in force") == 1
+    });
+    assert!(member.log_text().contains("line 1"), "{}", member.log_text());
     std::fs::write(&keys, format!("2 {}\n", "cd".repeat(32))).unwrap();
     member.reload(&file);
-    assert_eq!(member.logged("the fleet's keys before stay in force"), 1);
+    assert_eq!(member.count_in_log("the fleet's keys before stay in force"), 1);
     // A process refuses to start with a damaged key file, and its error names the key and the line.
     std::fs::write(&keys, "1 not a key\n").unwrap();
-    let mut refused = Operated::spawn(&file.replace(&admin.to_string(), &free_address().to_string()));
-    assert!(!refused.balancer.wait().success());
+    let mut refused = OperatedBalancer::spawn(&file.replace(&admin.to_string(), &free_address().to_string()));
+    assert!(!refused.balancer.wait_for_exit().success());
 }
 
 /// A pool whose settings do not say how many balancers share its nodes follows the live membership. When
@@ -387,22 +392,27 @@
             links[i], links[0]
         )
     };
-    let mut members: Vec<Operated> = (0..3).map(|i| Operated::spawn(&file(i))).collect();
+    let mut members: Vec<OperatedBalancer> = (0..3).map(|i| OperatedBalancer::spawn(&file(i))).collect();
     for m in &members {
-        until("three instances", || m.logged("instances: 3") + m.logged("\"instances\":3") > 0);
+        wait_until("three instances", || {
+            m.count_in_log("instances: 3") + m.count_in_log("\"instances\":3") > 0
+        });
     }
     // Each member has a different instance number, and the pool that sets its instances itself is not
     // changed.
     let ranks: std::collections::BTreeSet<bool> = members
         .iter()
-        .map(|m| m.log().lines().any(|l| l.contains("instances: 3") && l.contains("instance: 0")))
+        .map(|m| m.log_text().lines().any(|l| l.contains("instances: 3") && l.contains("instance: 0")))
         .collect();
     assert_eq!(ranks.len(), 2, "some members, but not all, have instance number 0");
-    assert!(members.iter().all(|m| !m.log().contains("pool: fixed")));
+    assert!(members.iter().all(|m| !m.log_text().contains("pool: fixed")));
     members[2].balancer.child.kill().unwrap();
-    until("both members report the death", || members[..2].iter().all(|m| m.logged("a member is down") > 0));
+    wait_until("both members report the death", || {
+        members[..2].iter().all(|m| m.count_in_log("a member is down") > 0)
+    });
     // While the members joined, the number may have been 2, so the last line counts.
-    let last = |m: &Operated| m.log().lines().rfind(|l| l.contains("instances: ")).map(str::to_string);
+    let last =
+        |m: &OperatedBalancer| m.log_text().lines().rfind(|l| l.contains("instances: ")).map(str::to_string);
     assert!(
         members[..2].iter().all(|m| last(m).is_some_and(|l| l.contains("instances: 3"))),
         "the fleet size is not reduced yet"
@@ -414,25 +424,25 @@
 #[test]
 fn a_log_at_its_size_limit_loses_lines_and_does_not_end_the_process() {
     use rustix::process::{prlimit, Pid, Resource, Rlimit};
-    let upstream = Upstream::start(|_| ok("x"));
+    let upstream = Upstream::start(|_| ok_reply("x"));
     let file = FILE_WITHOUT_FLEET.replace("127.0.0.1:9\"", &format!("{}\"", upstream.address));
-    let mut process = Operated::start(&file);
+    let mut process = OperatedBalancer::start(&file);
     let pid = Pid::from_child(&process.balancer.child);
-    let log_bytes = process.log().len() as u64;
+    let log_bytes = process.log_text().len() as u64;
     let limit = |bytes| Rlimit { current: bytes, maximum: None };
     prlimit(Some(pid), Resource::Fsize, limit(Some(log_bytes))).unwrap();
     for _ in 0..3 {
         process.balancer.signal("HUP");
         std::thread::sleep(std::time::Duration::from_millis(100));
-        assert_eq!(process.ask(&get("/")).status(), 200, "the process continues to serve");
+        assert_eq!(process.request(&get_request("/")).status(), 200, "the process continues to serve");
     }
     assert!(process.balancer.child.try_wait().unwrap().is_none(), "the process has ended");
     assert_eq!(
-        process.log().len() as u64,
+        process.log_text().len() as u64,
         log_bytes,
         "the log has grown, so the limit had no effect and nothing was tested"
     );
     prlimit(Some(pid), Resource::Fsize, limit(None)).unwrap();
     process.reload(&file);
-    assert_eq!(process.ask(&get("/")).status(), 200);
+    assert_eq!(process.request(&get_request("/")).status(), 200);
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -43,12 +43,12 @@
 
 /// Starts a node whose answers consist of its name.
 fn named_node(name: &'static str) -> Upstream {
-    Upstream::start(move |_| ok(name))
+    Upstream::start(move |_| ok_reply(name))
 }
 
 /// Returns an address on which nothing listens, so that connections to it are refused.
 fn unused_address() -> SocketAddr {
-    bound_once("127.0.0.1:0".parse().unwrap())
+    bound_address("127.0.0.1:0".parse().unwrap())
 }
 
 fn body(message: &Message) -> String {
@@ -57,13 +57,13 @@
 
 #[test]
 fn requests_follow_their_routes_and_answers_are_forwarded_unchanged() {
-    let shop = Upstream::start(|m| match m.start.split(' ').next() {
+    let shop = Upstream::start(|m| match m.start_line.split(' ').next() {
         Some("PUT") => {
-            Reply::Bytes(b"HTTP/1.1 201 Created\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok".to_vec())
+            Reply::Send(b"HTTP/1.1 201 Created\r\nLocation: /x\r\nContent-Length: 2\r\n\r\nok".to_vec())
         }
-        Some("DELETE") => Reply::Bytes(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()),
-        Some("HEAD") => Reply::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n".to_vec()),
-        _ => ok("shop"),
+        Some("DELETE") => Reply::Send(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()),
+        Some("HEAD") => Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n".to_vec()),
+        _ => ok_reply("shop"),
     });
     let stock = named_node("stock");
     let text = [
@@ -74,32 +74,32 @@
         route("stock", "look", "/stock", "methods = [\"GET\"]\npool = \"stock\""),
         route("book", "book", "/book", "pool = \"shop\""),
     ];
-    let process = Operated::start(&text.concat());
-    let mut client = process.client();
-    assert_eq!(body(&client.ask(&get("/a"))), "shop");
-    assert_eq!(body(&client.ask(&get("/stock/7?x=1"))), "stock");
-    let got = stock.got.lock().unwrap()[0].clone();
-    assert_eq!(got.start, "GET /stock/7?x=1 HTTP/1.1");
+    let process = OperatedBalancer::start(&text.concat());
+    let mut client = process.connect();
+    assert_eq!(body(&client.request(&get_request("/a"))), "shop");
+    assert_eq!(body(&client.request(&get_request("/stock/7?x=1"))), "stock");
+    let got = stock.received.lock().unwrap()[0].clone();
+    assert_eq!(got.start_line, "GET /stock/7?x=1 HTTP/1.1");
     assert_eq!(got.header("req-id").map(str::len), Some(16), "a request without an id gets one");
-    let answer = client.ask(&get("/a").replace("GET", "PUT"));
+    let answer = client.request(&get_request("/a").replace("GET", "PUT"));
     assert_eq!((answer.status(), answer.header("location"), body(&answer)), (201, Some("/x"), "ok".into()));
-    let answer = client.ask(&get("/a").replace("GET", "DELETE"));
+    let answer = client.request(&get_request("/a").replace("GET", "DELETE"));
     assert_eq!((answer.status(), answer.header("content-length")), (204, None));
-    client.send(&get("/a").replace("GET", "HEAD"));
-    client.send(&get("/stock/8"));
-    let head = client.head().unwrap();
+    client.send(&get_request("/a").replace("GET", "HEAD"));
+    client.send(&get_request("/stock/8"));
+    let head = client.read_head().unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("77")));
-    assert_eq!(body(&client.answer().unwrap()), "stock", "the next answer begins where the head ended");
+    assert_eq!(body(&client.read_answer().unwrap()), "stock", "the next answer begins where the head ended");
     assert_eq!(
-        process.ask(&get("/a/%2e%2E/stock")).status(),
+        process.request(&get_request("/a/%2e%2E/stock")).status(),
         404,
         "a path with dot segments, which an upstream may resolve to another path"
     );
-    let keyless = post("/book", "").replace("Idempotency-Key: \r\n", "");
-    assert_eq!(process.ask(&keyless).status(), 400);
-    assert_eq!(process.ask(&post("/book", "k1")).status(), 200);
-    let late = get("/a").replace("\r\n\r\n", "\r\nReq-Deadline: soon\r\n\r\n");
-    assert_eq!(process.ask(&late).status(), 400);
+    let keyless = post_request("/book", "").replace("Idempotency-Key: \r\n", "");
+    assert_eq!(process.request(&keyless).status(), 400);
+    assert_eq!(process.request(&post_request("/book", "k1")).status(), 200);
+    let late = get_request("/a").replace("\r\n\r\n", "\r\nReq-Deadline: soon\r\n\r\n");
+    assert_eq!(process.request(&late).status(), 400);
 }
 
 /// Guards against losing the requests of a pool that a reload removes, and against a removed pool that never
@@ -109,8 +109,8 @@
     let may_answer = Arc::new(AtomicBool::new(false));
     let node_may_answer = may_answer.clone();
     let old = Upstream::start(move |_| {
-        until("permission to answer", || node_may_answer.load(Ordering::SeqCst));
-        ok("old")
+        wait_until("permission to answer", || node_may_answer.load(Ordering::SeqCst));
+        ok_reply("old")
     });
     let new = named_node("new");
     let before =
@@ -118,23 +118,25 @@
             .concat();
     let after = [FILE_HEAD.into(), pool("new", &[new.address]), route("book", "book", "/", "pool = \"new\"")]
         .concat();
-    let process = Operated::start(&before);
-    let mut client = process.client();
-    client.send(&post("/x", "k1"));
-    until("the attempt", || old.opened.load(Ordering::SeqCst) > 0 && !process.log().is_empty());
+    let process = OperatedBalancer::start(&before);
+    let mut client = process.connect();
+    client.send(&post_request("/x", "k1"));
+    wait_until("the attempt", || {
+        old.connections_opened.load(Ordering::SeqCst) > 0 && !process.log_text().is_empty()
+    });
     thread::sleep(Duration::from_millis(50));
     process.reload(&after);
-    assert_eq!(body(&process.ask(&post("/x", "k2"))), "new");
+    assert_eq!(body(&process.request(&post_request("/x", "k2"))), "new");
     // The key's window is still open, and only the old pool could recognize a repeat.
-    let repeat = process.ask(&post("/x", "k1"));
+    let repeat = process.request(&post_request("/x", "k1"));
     assert_eq!(repeat.status(), 503);
     let wait: u64 = repeat.header("retry-after").unwrap().parse().unwrap();
     assert!((1..=20).contains(&wait), "{wait}");
-    assert_eq!(process.logged("the pool has ended"), 0);
+    assert_eq!(process.count_in_log("the pool has ended"), 0);
     may_answer.store(true, Ordering::SeqCst);
-    assert_eq!(body(&client.answer().unwrap()), "old");
-    until("the pool's end", || process.logged("the pool has ended") == 1);
-    assert_eq!((old.count(), new.count()), (1, 1));
+    assert_eq!(body(&client.read_answer().unwrap()), "old");
+    wait_until("the pool's end", || process.count_in_log("the pool has ended") == 1);
+    assert_eq!((old.request_count(), new.request_count()), (1, 1));
 }
 
 #[test]
@@ -142,8 +144,8 @@
     let fail = Arc::new(AtomicBool::new(true));
     let fails = fail.clone();
     let blue = Upstream::start(move |_| match fails.load(Ordering::SeqCst) {
-        true => Reply::Last(Vec::new()),
-        false => ok("blue"),
+        true => Reply::SendAndClose(Vec::new()),
+        false => ok_reply("blue"),
     });
     let green = named_node("green");
     let text = |blue_weight: u32, green_weight: u32| {
@@ -151,15 +153,15 @@
         let pools = pool_with("blue", &[blue.address], "attempts = 1") + &pool("green", &[green.address]);
         [FILE_HEAD.into(), pools, route("book", "book", "/", &target)].concat()
     };
-    let process = Operated::start(&text(1, 0));
-    assert_eq!(process.ask(&post("/x", "k1")).status(), 502, "the attempt may have run");
+    let process = OperatedBalancer::start(&text(1, 0));
+    assert_eq!(process.request(&post_request("/x", "k1")).status(), 502, "the attempt may have run");
     fail.store(false, Ordering::SeqCst);
     process.reload(&text(0, 1));
     for _ in 0..5 {
-        assert_eq!(body(&process.ask(&post("/x", "k1"))), "blue");
+        assert_eq!(body(&process.request(&post_request("/x", "k1"))), "blue");
     }
     for i in 2..20 {
-        assert_eq!(body(&process.ask(&post("/x", &format!("k{i}")))), "green");
+        assert_eq!(body(&process.request(&post_request("/x", &format!("k{i}")))), "green");
     }
 }
 
@@ -171,11 +173,11 @@
         let pools = pool_with("p", &[node.address], &format!("attempts = {attempts}"));
         [FILE_HEAD.into(), pools, route("book", "book", "/", "pool = \"p\"")].concat()
     };
-    let process = Operated::start(&text(2));
-    assert_eq!(body(&process.ask(&post("/x", "k1"))), "node");
+    let process = OperatedBalancer::start(&text(2));
+    assert_eq!(body(&process.request(&post_request("/x", "k1"))), "node");
     process.reload(&text(3));
-    assert!(process.log().contains("pools_replaced: p"), "{}", process.log());
-    assert_eq!(body(&process.ask(&post("/x", "k1"))), "node");
+    assert!(process.log_text().contains("pools_replaced: p"), "{}", process.log_text());
+    assert_eq!(body(&process.request(&post_request("/x", "k1"))), "node");
 }
 
 #[test]
@@ -187,17 +189,17 @@
         let target = "failover = [\"first\", \"reserve\"]";
         [FILE_HEAD.into(), pools, route("a", "look", "/", target), route("k", "book", "/k", target)].concat()
     };
-    let process = Operated::start(&text(unused_address()));
-    let mut client = process.client();
+    let process = OperatedBalancer::start(&text(unused_address()));
+    let mut client = process.connect();
     for i in 0..40 {
-        let request = if i % 2 == 0 { get("/x") } else { post("/k", &format!("f{i}")) };
-        assert_eq!(body(&client.ask(&request)), "reserve", "request {i}");
+        let request = if i % 2 == 0 { get_request("/x") } else { post_request("/k", &format!("f{i}")) };
+        assert_eq!(body(&client.request(&request)), "reserve", "request {i}");
     }
-    until("the pool to be left", || process.logged("the pool is left") >= 1);
+    wait_until("the pool to be left", || process.count_in_log("the pool is left") >= 1);
     // The first pool recovers at another address, and gets its requests again after the hold time.
     let first = named_node("first");
     process.reload(&text(first.address));
-    until("the return", || body(&client.ask(&get("/x"))) == "first");
+    wait_until("the return", || body(&client.request(&get_request("/x"))) == "first");
 }
 
 /// Guards against traffic that moves with each change of a flapping pool: each failure lengthens the hold
@@ -209,9 +211,9 @@
     let flapping = Upstream::start(move |_| {
         answers.fetch_add(1, Ordering::SeqCst);
         if node_healthy.load(Ordering::SeqCst) {
-            ok("flapping")
+            ok_reply("flapping")
         } else {
-            error(500, "")
+            error_reply(500, "")
         }
     });
     let reserve = named_node("reserve");
@@ -222,21 +224,21 @@
         pool("reserve", &[reserve.address]),
         route("a", "look", "/", "failover = [\"flapping\", \"reserve\"]"),
     ];
-    let process = Operated::start(&text.concat());
-    let mut client = process.client();
+    let process = OperatedBalancer::start(&text.concat());
+    let mut client = process.connect();
     let end = Instant::now() + Duration::from_secs(9);
     let mut failed = 0;
     while Instant::now() < end {
-        failed += u32::from(client.ask(&get("/x")).status() != 200);
+        failed += u32::from(client.request(&get_request("/x")).status() != 200);
         thread::sleep(Duration::from_millis(5));
     }
     // Health records count for 5 s, so without the doubling traffic could return to the pool about once in that
     // time. Each return costs three failures and the requests that come before the next check of the pool's
     // health.
-    let left = process.logged("the pool is left");
+    let left = process.count_in_log("the pool is left");
     assert!((1..=3).contains(&left), "the pool was left {left} times");
     assert!(failed <= 80 * left as u32, "{failed} requests failed");
-    assert!(reserve.count() > 10 * failed as usize, "{} to {failed}", reserve.count());
+    assert!(reserve.request_count() > 10 * failed as usize, "{} to {failed}", reserve.request_count());
 }
 
 #[test]
@@ -249,13 +251,13 @@
         route("alone", "look", "/alone", "pool = \"empty\""),
         route("list", "look", "/list", "failover = [\"empty\", \"reserve\"]"),
     ];
-    let process = Operated::start(&text.concat());
+    let process = OperatedBalancer::start(&text.concat());
     let start = Instant::now();
-    let answer = process.ask(&get("/alone"));
+    let answer = process.request(&get_request("/alone"));
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1"));
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
-    assert_eq!(body(&process.ask(&get("/list"))), "reserve");
+    assert_eq!(body(&process.request(&get_request("/list"))), "reserve");
 }
 
 #[test]
@@ -264,14 +266,14 @@
     let text = |target: &Upstream| {
         [FILE_HEAD.into(), pool("p", &[target.address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let process = Operated::start(&text(&one));
+    let process = OperatedBalancer::start(&text(&one));
     let complete = text(&two);
     for cut in [0, 10, complete.len() / 2, complete.len() - 12] {
-        let refused = process.logged("the new version is refused");
-        process.replace(&complete[..cut]);
+        let refused = process.count_in_log("the new version is refused");
+        process.replace_config(&complete[..cut]);
         process.signal("HUP");
-        until("the refusal", || process.logged("the new version is refused") > refused);
-        assert_eq!(body(&process.ask(&get("/"))), "one");
+        wait_until("the refusal", || process.count_in_log("the new version is refused") > refused);
+        assert_eq!(body(&process.request(&get_request("/"))), "one");
     }
     // While a writer is still at work, the file is not used: it is read only after it has stopped changing.
     for end in [10, 60, 150, complete.len()] {
@@ -280,10 +282,10 @@
         process.signal("HUP");
         thread::sleep(Duration::from_millis(10));
     }
-    until("the whole file", || process.logged("the new version is in force") == 1);
-    until("the second node", || body(&process.ask(&get("/"))) == "two");
-    assert_eq!(process.logged("is refused"), 4, "{}", process.log());
-    assert!(process.log().contains("routes"), "the log names the key");
+    wait_until("the whole file", || process.count_in_log("the new version is in force") == 1);
+    wait_until("the second node", || body(&process.request(&get_request("/"))) == "two");
+    assert_eq!(process.count_in_log("is refused"), 4, "{}", process.log_text());
+    assert!(process.log_text().contains("routes"), "the log names the key");
 }
 
 #[test]
@@ -292,17 +294,17 @@
     let text = |i: usize| {
         [FILE_HEAD.into(), pool("p", &[nodes[i].address]), route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let process = Operated::start(&text(0));
+    let process = OperatedBalancer::start(&text(0));
     let start = Instant::now();
     process.reload(&text(1));
     process.reload(&text(2));
-    assert!(start.elapsed() < PATIENCE);
-    until("the last version", || body(&process.ask(&get("/"))) == "n2");
-    let earlier_requests = nodes[0].count() + nodes[1].count();
+    assert!(start.elapsed() < WAIT_TIMEOUT);
+    wait_until("the last version", || body(&process.request(&get_request("/"))) == "n2");
+    let earlier_requests = nodes[0].request_count() + nodes[1].request_count();
     for _ in 0..20 {
-        assert_eq!(body(&process.ask(&get("/"))), "n2");
+        assert_eq!(body(&process.request(&get_request("/"))), "n2");
     }
-    assert_eq!(nodes[0].count() + nodes[1].count(), earlier_requests);
+    assert_eq!(nodes[0].request_count() + nodes[1].request_count(), earlier_requests);
 }
 
 #[test]
@@ -316,23 +318,26 @@
         text +=
             &route(&format!("r{i}"), "look", &format!("/s{i}/items"), &format!("pool = \"p{}\"", i % 200));
     }
-    let process = Operated::start(&text);
+    let process = OperatedBalancer::start(&text);
     for i in [0, 4_321, 9_999] {
-        assert_eq!(body(&process.ask(&get(&format!("/s{i}/items/7")))), "node");
+        assert_eq!(body(&process.request(&get_request(&format!("/s{i}/items/7")))), "node");
     }
-    assert_eq!(process.ask(&get("/s10000/items")).status(), 404);
+    assert_eq!(process.request(&get_request("/s10000/items")).status(), 404);
     process.reload(&text.replace("/s9999/", "/other/"));
     assert_eq!(
-        (process.ask(&get("/s9999/items")).status(), process.ask(&get("/other/items")).status()),
+        (
+            process.request(&get_request("/s9999/items")).status(),
+            process.request(&get_request("/other/items")).status()
+        ),
         (404, 200)
     );
-    assert!(process.log().contains("pools_kept: 200"), "{}", process.log());
+    assert!(process.log_text().contains("pools_kept: 200"), "{}", process.log_text());
 }
 
 #[test]
 fn a_mirror_that_hangs_affects_neither_answers_nor_limits() {
     let node = named_node("node");
-    let shadow = Upstream::start(|_| Reply::Silence);
+    let shadow = Upstream::start(|_| Reply::NoAnswer);
     let max = "requests = { max = 4 }\nconnections = { max = 3 }";
     let text = [
         FILE_HEAD.replace("[listeners", "[limits]\nrequests = 8\n[listeners"),
@@ -340,19 +345,20 @@
         pool_with("shadow", &[shadow.address], max),
         route("a", "look", "/", "pool = \"p\"\nmirror = { pool = \"shadow\", share = 1.0 }"),
     ];
-    let process = Operated::start(&text.concat());
-    let mut client = process.client();
+    let process = OperatedBalancer::start(&text.concat());
+    let mut client = process.connect();
     for i in 0..200 {
-        let answer = client.ask(&get("/x"));
+        let answer = client.request(&get_request("/x"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
     }
-    until("the mirrored copies", || shadow.opened.load(Ordering::SeqCst) > 0);
-    let open = shadow.opened.load(Ordering::SeqCst) - shadow.ended.load(Ordering::SeqCst);
+    wait_until("the mirrored copies", || shadow.connections_opened.load(Ordering::SeqCst) > 0);
+    let open =
+        shadow.connections_opened.load(Ordering::SeqCst) - shadow.connections_ended.load(Ordering::SeqCst);
     assert!(open <= 3, "{open} connections to the shadow pool");
     let mirrored_ids: BTreeSet<_> =
-        shadow.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
+        shadow.received.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
     let served_ids: BTreeSet<_> =
-        node.got.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
+        node.received.lock().unwrap().iter().map(|m| m.header("req-id").unwrap().to_string()).collect();
     assert!(mirrored_ids.is_subset(&served_ids), "copies are of requests that were served");
     assert_eq!(served_ids.len(), 200);
 }
@@ -361,7 +367,7 @@
 /// share.
 #[test]
 fn a_flood_on_one_route_leaves_other_routes_their_minimum() {
-    let hung = Upstream::start(|_| Reply::Silence);
+    let hung = Upstream::start(|_| Reply::NoAnswer);
     let node = named_node("node");
     let text = [
         FILE_HEAD.replace("[listeners", "[limits]\nrequests = 20\ndescriptors = 128\n[listeners")
@@ -380,16 +386,16 @@
     // The file head ends with a class's table, to which a listener's share does not belong, so the line is
     // removed.
     let text = text.concat().replace("window = \"20s\"\nconnections = { min = 0 }\n", "window = \"20s\"\n");
-    let process = Operated::start(&text);
-    let mut flood: Vec<Client> = (0..40).map(|_| process.client()).collect();
+    let process = OperatedBalancer::start(&text);
+    let mut flood: Vec<Client> = (0..40).map(|_| process.connect()).collect();
     let refused = Arc::new(AtomicU32::new(0));
     for client in &mut flood {
-        client.send(&get("/flooded"));
+        client.send(&get_request("/flooded"));
     }
     let counted = refused.clone();
     let readers = thread::spawn(move || {
         for mut client in flood {
-            if let Some(answer) = client.answer() {
+            if let Some(answer) = client.read_answer() {
                 assert!(matches!(answer.status(), 502 | 503), "{}", answer.status());
                 if answer.header("retry-after").is_some() {
                     counted.fetch_add(1, Ordering::SeqCst);
@@ -397,10 +403,10 @@
             }
         }
     });
-    until("the flood", || hung.opened.load(Ordering::SeqCst) > 0);
-    let mut client = process.client();
+    wait_until("the flood", || hung.connections_opened.load(Ordering::SeqCst) > 0);
+    let mut client = process.connect();
     for i in 0..100 {
-        let answer = client.ask(&get("/well"));
+        let answer = client.request(&get_request("/well"));
         assert_eq!((answer.status(), body(&answer)), (200, "node".into()), "request {i}");
     }
     readers.join().unwrap();
@@ -410,31 +416,35 @@
 #[test]
 fn changes_of_a_nodes_file_are_followed_and_a_drained_node_gets_no_new_request() {
     let (one, two) = (named_node("one"), named_node("two"));
-    let file = config_file("");
+    let file = write_config_file("");
     let node = |node_server: &Upstream, name: &str, more: &str| {
         format!("[[nodes]]\nname = \"{name}\"\naddress = \"{}\"\n{more}\n", node_server.address)
     };
     std::fs::write(&file, node(&one, "one", "")).unwrap();
     let pools = format!("[pools.p]\nnodes_file = \"{file}\"\n");
     let process =
-        Operated::start(&[FILE_HEAD.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
-    assert_eq!(body(&process.ask(&get("/"))), "one");
+        OperatedBalancer::start(&[FILE_HEAD.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat());
+    assert_eq!(body(&process.request(&get_request("/"))), "one");
     std::fs::write(&file, node(&one, "one", "state = \"draining\"") + &node(&two, "two", "")).unwrap();
-    until("the list", || process.logged("nodes read") == 2);
+    wait_until("the list", || process.count_in_log("nodes read") == 2);
     thread::sleep(Duration::from_millis(500));
-    let before = one.count();
+    let before = one.request_count();
     for _ in 0..30 {
-        assert_eq!(body(&process.ask(&get("/"))), "two");
+        assert_eq!(body(&process.request(&get_request("/"))), "two");
     }
-    assert_eq!(one.count(), before);
+    assert_eq!(one.request_count(), before);
     // A file that is invalid, empty or missing changes nothing.
     std::fs::write(&file, "[[nodes]]\nname = \"two\"\n").unwrap();
-    until("the refusal of the invalid file", || process.logged("the file of nodes is refused") == 1);
+    wait_until("the refusal of the invalid file", || {
+        process.count_in_log("the file of nodes is refused") == 1
+    });
     std::fs::write(&file, "").unwrap();
-    until("the refusal of the empty file", || process.logged("the file of nodes is refused") == 2);
+    wait_until("the refusal of the empty file", || process.count_in_log("the file of nodes is refused") == 2);
     std::fs::remove_file(&file).unwrap();
-    until("the warning of the missing file", || process.logged("the file of nodes is not there") == 1);
-    assert_eq!(body(&process.ask(&get("/"))), "two");
+    wait_until("the warning of the missing file", || {
+        process.count_in_log("the file of nodes is not there") == 1
+    });
+    assert_eq!(body(&process.request(&get_request("/"))), "two");
 }
 
 #[test]
@@ -445,28 +455,30 @@
         let pools = format!("[pools.p]\ndiscovery = \"{}\"\n", discovery.address);
         [FILE_HEAD.into(), pools, route("a", "look", "/", "pool = \"p\"")].concat()
     };
-    let process = Operated::spawn(&text(&first));
-    let (_, mut watch) = first.watch();
-    watch.chunk(&(list(1, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("readiness", || Client::connect(process.address).is_some() && process.ask(READY).status() == 200);
-    assert_eq!(body(&process.ask(&get("/"))), "one");
-    let hosts = [host("one", one.address, 0, "DRAINING"), host("two", two.address, 0, "SERVING")];
-    watch.chunk(&(list(2, false, &hosts) + "\n"));
-    until("the second node", || body(&process.ask(&get("/"))) == "two");
+    let process = OperatedBalancer::spawn(&text(&first));
+    let (_, mut watch) = first.next_watch();
+    watch.write_chunk(&(host_list(1, true, &[host_entry("one", one.address, 0, "SERVING")]) + "\n"));
+    wait_until("readiness", || {
+        Client::connect(process.address).is_some() && process.request(READY_REQUEST).status() == 200
+    });
+    assert_eq!(body(&process.request(&get_request("/"))), "one");
+    let hosts = [host_entry("one", one.address, 0, "DRAINING"), host_entry("two", two.address, 0, "SERVING")];
+    watch.write_chunk(&(host_list(2, false, &hosts) + "\n"));
+    wait_until("the second node", || body(&process.request(&get_request("/"))) == "two");
     thread::sleep(Duration::from_millis(500));
-    let before = one.count();
+    let before = one.request_count();
     for _ in 0..20 {
-        assert_eq!(body(&process.ask(&get("/"))), "two");
+        assert_eq!(body(&process.request(&get_request("/"))), "two");
     }
-    assert_eq!(one.count(), before);
+    assert_eq!(one.request_count(), before);
     // The pool moves to another discovery: it keeps what it learned about its nodes, and uses the new one's
     // list.
     process.reload(&text(&second));
-    let (start, mut moved) = second.watch();
+    let (start, mut moved) = second.next_watch();
     assert!(start.contains("index=0"), "{start}");
-    moved.chunk(&(list(9, true, &[host("one", one.address, 0, "SERVING")]) + "\n"));
-    until("the first node again", || body(&process.ask(&get("/"))) == "one");
-    assert!(process.log().contains("pools_kept: 1"), "{}", process.log());
+    moved.write_chunk(&(host_list(9, true, &[host_entry("one", one.address, 0, "SERVING")]) + "\n"));
+    wait_until("the first node again", || body(&process.request(&get_request("/"))) == "one");
+    assert!(process.log_text().contains("pools_kept: 1"), "{}", process.log_text());
 }
 
 #[test]
@@ -475,23 +487,23 @@
     let rest = pool("p", &[node.address]) + &route("a", "look", "/", "pool = \"p\"");
     let other = free_address();
     let with = |more: String| FILE_HEAD.replace("[classes.look]", &(more + "[classes.look]")) + &rest;
-    let process = Operated::start(&with(String::new()));
+    let process = OperatedBalancer::start(&with(String::new()));
     let second = format!("[listeners.second]\naddress = \"{other}\"\n");
     process.reload(&with(second.clone()));
     let connect = |address| Client::connect(address);
     let mut connection = connect(other).unwrap();
-    assert_eq!(body(&connection.ask(&get("/"))), "node");
+    assert_eq!(body(&connection.request(&get_request("/"))), "node");
     // The whole version is refused when one address is in use.
     let taken = TcpListener::bind(free_address()).unwrap();
     let third = format!("[listeners.third]\naddress = \"{}\"\n", taken.local_addr().unwrap());
-    process.replace(&with(third));
+    process.replace_config(&with(third));
     process.signal("HUP");
-    until("the refusal", || process.logged("the new version is refused") == 1);
-    assert_eq!(body(&connection.ask(&get("/"))), "node", "the second listener is still in force");
+    wait_until("the refusal", || process.count_in_log("the new version is refused") == 1);
+    assert_eq!(body(&connection.request(&get_request("/"))), "node", "the second listener is still in force");
     process.reload(&with(String::new()));
-    until("the end of the listener", || connect(other).is_none());
-    assert!(connection.answer().is_none(), "a connection between requests ends with its listener");
-    assert_eq!(body(&process.ask(&get("/"))), "node");
+    wait_until("the end of the listener", || connect(other).is_none());
+    assert!(connection.read_answer().is_none(), "a connection between requests ends with its listener");
+    assert_eq!(body(&process.request(&get_request("/"))), "node");
 }
 
 /// Each client gets exactly one answer to each request while one version after another comes into force.
@@ -516,7 +528,7 @@
 
 fn reload_under_load(time: Duration, least_versions: usize) {
     let nodes: Vec<Upstream> =
-        (0..3).map(|_| Upstream::start(|m| ok(m.header("x-mine").unwrap_or("")))).collect();
+        (0..3).map(|_| Upstream::start(|m| ok_reply(m.header("x-mine").unwrap_or("")))).collect();
     let text = |version: usize| {
         let mut pools = pool("kept", &[nodes[0].address]);
         pools += &pool_with("changed", &[nodes[1].address], &format!("attempts = {}", 2 + version % 3));
@@ -530,7 +542,7 @@
         let head = FILE_HEAD.replace("[listeners", "[limits]\npins = 1000000\n[listeners");
         [head, pools, route("a", "look", "/", &target), route("k", "book", "/k", &target)].concat()
     };
-    let process = Operated::start(&text(0));
+    let process = OperatedBalancer::start(&text(0));
     let done = Arc::new(AtomicBool::new(false));
     let address = process.address;
     let clients: Vec<_> = (0..4)
@@ -541,9 +553,13 @@
                 let (mut sent, mut refused) = (0u64, 0u64);
                 while !done.load(Ordering::SeqCst) {
                     let own_body = format!("{c}-{sent}");
-                    let plain = if sent.is_multiple_of(2) { get("/x") } else { post("/k", &own_body) };
+                    let plain = if sent.is_multiple_of(2) {
+                        get_request("/x")
+                    } else {
+                        post_request("/k", &own_body)
+                    };
                     let request = plain.replacen("\r\n\r\n", &format!("\r\nX-Mine: {own_body}\r\n\r\n"), 1);
-                    let answer = client.ask(&request);
+                    let answer = client.request(&request);
                     sent += 1;
                     // On an overloaded machine a request may be refused, which is an answer too. Any other
                     // answer must be the one to this very request.
@@ -560,7 +576,7 @@
     let (start, mut version, mut memory) = (Instant::now(), 0, Vec::new());
     while start.elapsed() < time {
         version += 1;
-        process.replace(&text(version));
+        process.replace_config(&text(version));
         process.signal("HUP");
         thread::sleep(Duration::from_millis(100));
         memory.push(memory_kb(process.child.id()));
@@ -570,10 +586,10 @@
     let refused: u64 = ends.iter().map(|e| e.1).sum();
     let served = ends.iter().map(|e| e.0).sum::<u64>() - refused;
     assert!(refused * 100 <= served, "{refused} refused, {served} served");
-    let in_force = process.logged("the new version is in force");
+    let in_force = process.count_in_log("the new version is in force");
     assert!(in_force >= least_versions, "{in_force} of {version} versions");
-    assert_eq!(process.logged("is refused"), 0, "{}", process.log());
-    let sent: usize = nodes.iter().map(Upstream::count).sum();
+    assert_eq!(process.count_in_log("is refused"), 0, "{}", process.log_text());
+    let sent: usize = nodes.iter().map(Upstream::request_count).sum();
     assert!(sent as u64 >= served && served > 0, "{served} served, {sent} attempts");
     let half = memory.len() / 2;
     // Keys are stored for 20 s, so before half of a minute their memory still grows as expected.
@@ -588,7 +604,8 @@
 
 #[test]
 fn json_request_lines_report_the_outcome_of_each_request() {
-    let node = Upstream::start(|m| if m.start.contains("/bad") { error(422, "") } else { ok("x") });
+    let node =
+        Upstream::start(|m| if m.start_line.contains("/bad") { error_reply(422, "") } else { ok_reply("x") });
     let text = [
         FILE_HEAD.replace("[listeners", "[logging]\nformat = \"json\"\nrequests = \"all\"\n[listeners"),
         "[tenants.north]\n".into(),
@@ -597,14 +614,15 @@
         route("a", "look", "/", "pool = \"p\"\ntenant = { header = \"X-Tenant\" }"),
         route("n", "look", "/none", "pool = \"none\""),
     ];
-    let process = Operated::start(&text.concat());
-    let with = |path: &str| get(path).replace("\r\n\r\n", "\r\nX-Tenant: north\r\nReq-Id: mine\r\n\r\n");
-    let mut client = process.client();
-    assert_eq!(client.ask(&with("/x")).status(), 200);
-    assert_eq!(client.ask(&with("/bad")).status(), 422);
-    assert_eq!(client.ask(&with("/none")).status(), 503);
-    until("three lines", || process.logged("\"msg\":\"request\"") == 3);
-    let log = process.log();
+    let process = OperatedBalancer::start(&text.concat());
+    let with =
+        |path: &str| get_request(path).replace("\r\n\r\n", "\r\nX-Tenant: north\r\nReq-Id: mine\r\n\r\n");
+    let mut client = process.connect();
+    assert_eq!(client.request(&with("/x")).status(), 200);
+    assert_eq!(client.request(&with("/bad")).status(), 422);
+    assert_eq!(client.request(&with("/none")).status(), 503);
+    wait_until("three lines", || process.count_in_log("\"msg\":\"request\"") == 3);
+    let log = process.log_text();
     let lines: Vec<serde_json::Value> = log.lines().map(|l| serde_json::from_str(l).unwrap()).collect();
     let requests: Vec<_> = lines.iter().filter(|l| l["msg"] == "request").collect();
     let field = |i: usize, name: &str| requests[i][name].as_str().unwrap_or("").to_string();
@@ -633,12 +651,14 @@
         pool("p", &[node.address]),
         route("a", "look", "/", "pool = \"p\""),
     ];
-    let mut process = Operated::spawn_with(&text.concat(), Some(std::process::Stdio::piped()));
-    until("readiness", || Client::connect(process.address).is_some() && process.ask(READY).status() == 200);
-    let mut client = process.client();
+    let mut process = OperatedBalancer::spawn_with_log_to(&text.concat(), Some(std::process::Stdio::piped()));
+    wait_until("readiness", || {
+        Client::connect(process.address).is_some() && process.request(READY_REQUEST).status() == 200
+    });
+    let mut client = process.connect();
     // Each line is longer than 100 bytes, and the pipe's buffer takes 64 KiB, so 2,000 lines don't fit.
     for _ in 0..2_000 {
-        assert_eq!(client.ask(&get("/x")).status(), 200);
+        assert_eq!(client.request(&get_request("/x")).status(), 200);
     }
     let mut log = process.balancer.child.stderr.take().unwrap();
     let reader = thread::spawn(move || {
@@ -646,7 +666,7 @@
         std::io::Read::read_to_string(&mut log, &mut text).map(|_| text)
     });
     process.signal("TERM");
-    assert!(process.balancer.wait().success());
+    assert!(process.balancer.wait_for_exit().success());
     let text = reader.join().unwrap().unwrap();
     let lines = text.matches("outcome: served").count();
     assert!(lines > 100 && lines < 2_000, "{lines} lines");
@@ -657,21 +677,21 @@
 fn after_sigterm_accepted_requests_are_answered_and_the_process_ends() {
     let node = Upstream::start(|_| {
         thread::sleep(Duration::from_millis(300));
-        ok("late")
+        ok_reply("late")
     });
-    let mut process = Operated::start(
+    let mut process = OperatedBalancer::start(
         &[FILE_HEAD.into(), pool("p", &[node.address]), route("a", "look", "/", "pool = \"p\"")].concat(),
     );
-    let mut client = process.client();
-    client.send(&get("/"));
-    until("the attempt", || node.opened.load(Ordering::SeqCst) > 0);
+    let mut client = process.connect();
+    client.send(&get_request("/"));
+    wait_until("the attempt", || node.connections_opened.load(Ordering::SeqCst) > 0);
     process.signal("HUP");
     process.signal("TERM");
-    assert_eq!(body(&client.answer().unwrap()), "late");
+    assert_eq!(body(&client.read_answer().unwrap()), "late");
     assert_eq!(
-        body(&process.ask(&get("/"))),
+        body(&process.request(&get_request("/"))),
         "late",
         "new requests are accepted for some time after SIGTERM"
     );
-    assert!(process.balancer.wait().success());
+    assert!(process.balancer.wait_for_exit().success());
 }
